--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -6,29 +6,29 @@
 )
 
 // idle takes what the module asks for, and does nothing.
-type idle struct{ to EndpointID }
+type stubOutgoing struct{ target EndpointID }
 
-func (s *idle) Send(_ ExchangeID, to EndpointID, _ Millis) { s.to = to }
-func (s *idle) Cancel(ExchangeID, LegNo)                   {}
-func (s *idle) Shed(ExchangeID, Reason, Millis)            {}
-func (s *idle) Fail(ExchangeID, Reason)                    {}
-func (s *idle) SetTimer(Millis, TimerID)                   {}
-func (s *idle) NotifyPeer(PeerID, []byte)                  {}
-func (s *idle) Watch()                                     {}
-func (s *idle) Probe(EndpointID)                           {}
-func (s *idle) Note(string)                                {}
+func (s *stubOutgoing) Send(_ ExchangeID, to EndpointID, _ Millis) { s.target = to }
+func (s *stubOutgoing) Cancel(ExchangeID, LegNo)                   {}
+func (s *stubOutgoing) Shed(ExchangeID, Reason, Millis)            {}
+func (s *stubOutgoing) Fail(ExchangeID, Reason)                    {}
+func (s *stubOutgoing) SetTimer(Millis, TimerID)                   {}
+func (s *stubOutgoing) NotifyPeer(PeerID, []byte)                  {}
+func (s *stubOutgoing) Watch()                                     {}
+func (s *stubOutgoing) Probe(EndpointID)                           {}
+func (s *stubOutgoing) Note(string)                                {}
 
 // BenchmarkExchange is one exchange that arrives, is answered after 10 ms and ends, a hundred a second, with the upkeep of its time.
 func BenchmarkExchange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := New(Terms{Seed: 1, Fleet: 300, Products: []Product{{Effect: Retryable, Expected: 400, Abandon: 1500, Value: 1}}, MaxLegs: 3, MayHedge: true}, &idle{}, 1e6)
+			m := New(Terms{Seed: 1, Fleet: 300, Products: []Product{{Effect: Retryable, Expected: 400, Abandon: 1500, Value: 1}}, MaxLegs: 3, MayHedge: true}, &stubOutgoing{}, 1e6)
 			m.ListStarts()
 			for e := range n {
 				m.Listed(EndpointID(fmt.Sprint("e", e)), Running, 0, 0, 0, 1, 0)
 			}
 			m.ListEnds(true)
-			now, beat := Millis(1e6), Millis(1e6)
+			now, nextTick := Millis(1e6), Millis(1e6)
 			b.ReportAllocs()
 			for b.Loop() {
 				m.SetNow(now)
@@ -36,7 +36,7 @@
 				now += 10
 				m.SetNow(now)
 				m.LegEnded("x", 0, Succeeded, 10, true)
-				for ; beat < now; beat += 80 {
+				for ; nextTick < now; nextTick += 80 {
 					m.TimerFired(0)
 				}
 			}
--- a/logic/discovery_capacity_test.go
+++ b/logic/discovery_capacity_test.go
@@ -79,7 +79,7 @@
 
 func (p *queueProcess) SetTimer(after Millis, t TimerID) {
 	if t == 1 {
-		p.d.after(after, func() { p.b.SetNow(p.d.now); p.b.TimerFired(1) })
+		p.d.schedule(after, func() { p.b.SetNow(p.d.now); p.b.TimerFired(1) })
 	}
 }
 
@@ -93,7 +93,7 @@
 	p.open = append(p.open, c)
 	if d.down || d.kind == refusingAtOnce && Millis(len(d.waiting))*d.work > queuePatience {
 		c.moot = true
-		d.after(2, func() {
+		d.schedule(2, func() {
 			d.refuse(c)
 			if !d.down && d.kind == refusingAtOnce {
 				for _, other := range slices.Clone(p.open) {
@@ -104,14 +104,14 @@
 		return
 	}
 	d.waiting = append(d.waiting, c)
-	d.after(AnswerPatience, func() {
+	d.schedule(AnswerPatience, func() {
 		if p.close(c) {
 			p.b.SetNow(d.now)
 			p.b.ListFailed()
 		}
 	})
 	if d.kind == droppingWaits {
-		d.after(queuePatience, func() {
+		d.schedule(queuePatience, func() {
 			if slices.Contains(d.waiting, c) && !(d.busy && d.waiting[0] == c) {
 				c.moot = true
 				d.refuse(c)
@@ -151,7 +151,7 @@
 	}
 	c := d.waiting[0]
 	d.busy = true
-	d.after(d.work, func() {
+	d.schedule(d.work, func() {
 		if len(d.waiting) > 0 && d.waiting[0] == c {
 			d.waiting = d.waiting[1:]
 			d.answer(c)
@@ -182,7 +182,7 @@
 func newQueueDiscovery(kind queueKind, fleet int, round Millis, seed uint64) *queueDiscovery {
 	d := &queueDiscovery{eventQueue: eventQueue{now: 1000}, kind: kind, work: round / Millis(fleet), draw: rand.New(rand.NewPCG(seed, 55))}
 	for range fleet {
-		p := &queueProcess{Outgoing: nowhere{}, d: d}
+		p := &queueProcess{Outgoing: discardOutgoing{}, d: d}
 		d.processes = append(d.processes, p)
 		p.b = New(Terms{Seed: d.draw.Uint64(), Fleet: fleet, PullList: true, HasList: true, AskWithin: 10000, MaxListWait: 1200,
 			Notified: NotificationBounds{Reached: 6000, Moved: 4000, Ended: 2000}}, p, d.now)
@@ -192,7 +192,7 @@
 
 // heardAfter plays on for a minute and tells how long after a moment each process heard its list; infinite for never.
 func (d *queueDiscovery) heardAfter(from Millis) (took []Millis) {
-	d.playUntil(from + 60000)
+	d.runUntil(from + 60000)
 	for _, p := range d.processes {
 		if !p.heard {
 			p.heardAt = Millis(math.Inf(1))
@@ -222,7 +222,7 @@
 func (d *queueDiscovery) goDown() Millis {
 	d.down, d.waiting = true, nil
 	d.endWatches()
-	d.playUntil(d.now + outageLasts)
+	d.runUntil(d.now + outageLasts)
 	d.down, d.calls = false, 0
 	return d.now
 }
--- a/logic/discovery_crowd_test.go
+++ b/logic/discovery_crowd_test.go
@@ -33,12 +33,12 @@
 
 func (s *crowdSidecar) SetTimer(after Millis, t TimerID) {
 	if t == 1 {
-		s.d.after(after, func() { s.b.SetNow(s.d.now); s.b.TimerFired(1) })
+		s.d.schedule(after, func() { s.b.SetNow(s.d.now); s.b.TimerFired(1) })
 	}
 }
 
 func (s *crowdSidecar) fail(moves int, pause Millis) {
-	s.d.after(pause, func() {
+	s.d.schedule(pause, func() {
 		if moves == s.moves && !s.heard {
 			s.b.SetNow(s.d.now)
 			s.b.ListFailed()
@@ -61,7 +61,7 @@
 		return
 	}
 	d.free = max(d.free, d.now) + d.work
-	d.after(d.free-d.now, func() {
+	d.schedule(d.free-d.now, func() {
 		if s.heard || d.now-began > 4000 {
 			return
 		}
@@ -78,12 +78,12 @@
 func newCrowd(fleet int, seed uint64) *crowdedDiscovery {
 	d := &crowdedDiscovery{eventQueue: eventQueue{now: 1000}, work: Millis(1640 / float64(fleet)), patience: 3000}
 	for n := range fleet {
-		s := &crowdSidecar{Outgoing: nowhere{}, d: d, draw: rand.New(rand.NewPCG(seed, uint64(n)))}
+		s := &crowdSidecar{Outgoing: discardOutgoing{}, d: d, draw: rand.New(rand.NewPCG(seed, uint64(n)))}
 		s.b = New(Terms{Seed: seed<<10 + uint64(n), Fleet: fleet, PullList: true, AskWithin: 10000, MaxListWait: 1200,
 			Notified: NotificationBounds{Reached: 6000, Moved: 4000, Ended: 2000}}, s, d.now)
 		d.sidecars = append(d.sidecars, s)
 	}
-	d.playUntil(30000)
+	d.runUntil(30000)
 	return d
 }
 
@@ -92,7 +92,7 @@
 func (d *crowdedDiscovery) reconfigure(faults int) (took []Millis) {
 	for n, s := range d.sidecars {
 		for _, at := range []Millis{0, 300, 700, 1600} {
-			d.after(Millis(400*n%2400)+at, func() {
+			d.schedule(Millis(400*n%2400)+at, func() {
 				s.moves++
 				s.heard, s.faulty, s.since = false, faults, d.now
 				s.b.SetNow(d.now)
@@ -106,7 +106,7 @@
 // endWatches ends the watches of all processes; the first call of each meets so many faults.
 func (d *crowdedDiscovery) endWatches(faults int) []Millis {
 	for n, s := range d.sidecars {
-		d.after(Millis(11*n%100), func() {
+		d.schedule(Millis(11*n%100), func() {
 			s.heard, s.faulty, s.since = false, faults, d.now
 			s.b.SetNow(d.now)
 			s.b.ListLost(0, false)
@@ -116,7 +116,7 @@
 }
 
 func (d *crowdedDiscovery) heardAfter() (took []Millis) {
-	d.playUntil(d.now + 30000)
+	d.runUntil(d.now + 30000)
 	for _, s := range d.sidecars {
 		if !s.heard {
 			s.heardAt = d.now
--- a/logic/discovery_pacing_test.go
+++ b/logic/discovery_pacing_test.go
@@ -134,7 +134,7 @@
 		before = cheapWork
 	}
 	for range cell.callers {
-		p := &pacedProcess{Outgoing: nowhere{}, d: d, heard: true}
+		p := &pacedProcess{Outgoing: discardOutgoing{}, d: d, heard: true}
 		p.b = New(Terms{Seed: d.draw.Uint64(), Fleet: cell.callers, PullList: true, HasList: true, AskWithin: 10000, MaxListWait: 1200,
 			Notified: NotificationBounds{Reached: 6000, Moved: 4000, Ended: 2000}}, p, d.now)
 		p.b.ListEnds(false) // one list at the start of the fleet, one at a quiet time
@@ -142,13 +142,13 @@
 		p.b.ListHeard(before)
 		d.processes = append(d.processes, p)
 	}
-	d.playUntil(d.now + 20000)
+	d.runUntil(d.now + 20000)
 	return d
 }
 
 func (p *pacedProcess) SetTimer(after Millis, t TimerID) {
 	if t == 1 {
-		p.d.after(after, func() { p.b.SetNow(p.d.now); p.b.TimerFired(1) })
+		p.d.schedule(after, func() { p.b.SetNow(p.d.now); p.b.TimerFired(1) })
 	}
 }
 
@@ -166,10 +166,10 @@
 	p.open = append(p.open, c)
 	switch crowded := d.queue == refusingAtOnce && Millis(len(d.waiting))*d.work > queuePatience; {
 	case d.down:
-		d.after(refusalTakes, func() { d.refuse(c, d.subscription) })
+		d.schedule(refusalTakes, func() { d.refuse(c, d.subscription) })
 		return
 	case crowded:
-		d.after(refusalTakes, func() { d.refuse(c, true) })
+		d.schedule(refusalTakes, func() { d.refuse(c, true) })
 		return
 	case p.faulty > 0:
 		p.faulty--
@@ -179,9 +179,9 @@
 	}
 	switch c.fault {
 	case refusedAnswer:
-		d.after(refusalTakes, func() { d.refuse(c, d.subscription) })
+		d.schedule(refusalTakes, func() { d.refuse(c, d.subscription) })
 	case brokenAnswer:
-		d.after(breakTakes, func() { d.fail(c) })
+		d.schedule(breakTakes, func() { d.fail(c) })
 	default:
 		d.enqueue(c)
 	}
@@ -189,9 +189,9 @@
 
 func (d *pacedDiscovery) enqueue(c *pacedCall) {
 	d.waiting = append(d.waiting, c)
-	d.after(AnswerPatience, func() { d.fail(c) })
+	d.schedule(AnswerPatience, func() { d.fail(c) })
 	if d.queue == droppingWaits {
-		d.after(queuePatience, func() {
+		d.schedule(queuePatience, func() {
 			if at := slices.Index(d.waiting, c); at > 0 || at == 0 && !d.busy {
 				c.moot = true
 				d.refuse(c, d.subscription)
@@ -243,7 +243,7 @@
 	}
 	c := d.waiting[0]
 	d.busy = true
-	d.after(d.work, func() {
+	d.schedule(d.work, func() {
 		if len(d.waiting) > 0 && d.waiting[0] == c {
 			d.waiting = d.waiting[1:]
 			d.answer(c)
@@ -261,7 +261,7 @@
 		d.fail(c)
 		return
 	case c.fault == halfAnswer:
-		d.after(halfAnswerWait, func() { d.fail(c) })
+		d.schedule(halfAnswerWait, func() { d.fail(c) })
 		return
 	}
 	p.heard, p.heardAt = true, d.now
@@ -309,23 +309,23 @@
 		switch first := moveSpread * Millis(d.draw.Float64()); d.event {
 		case configurations:
 			for _, part := range []Millis{0, 0.2, 0.45, 1} {
-				d.after(first+part*configurationsLast, p.move)
+				d.schedule(first+part*configurationsLast, p.move)
 			}
 			continue
 		case newConfiguration:
-			d.after(first, p.move)
+			d.schedule(first, p.move)
 			continue
 		}
-		d.after(endSpread*Millis(d.draw.Float64()), p.lose)
+		d.schedule(endSpread*Millis(d.draw.Float64()), p.lose)
 	}
 	if outage > 0 {
-		d.playUntil(d.now + outage)
+		d.runUntil(d.now + outage)
 		d.down = false
 		for _, p := range d.processes {
 			p.refused, p.since, p.calls, p.faulty = p.calls, d.now, 0, d.inARow
 		}
 	}
-	d.playUntil(d.now + neverAfter)
+	d.runUntil(d.now + neverAfter)
 }
 
 // pacingResult is what the calls of the processes of some cells came to.
@@ -474,9 +474,9 @@
 		d := newPacedDiscovery(pacingCell{queue: cell.queue, subscription: cell.subscription, callers: replacementCallers,
 			round: cell.work * replacementCallers, fault: brokenAnswer, inARow: cell.inARow}, seed+1000)
 		for n := range replacements {
-			d.after(replacementSpacing*(Millis(n)+Millis(d.draw.Float64())/2), func() { d.replace(cell.endWithin) })
+			d.schedule(replacementSpacing*(Millis(n)+Millis(d.draw.Float64())/2), func() { d.replace(cell.endWithin) })
 		}
-		d.playUntil(d.now + replacements*replacementSpacing + neverAfter)
+		d.runUntil(d.now + replacements*replacementSpacing + neverAfter)
 		for _, p := range d.processes {
 			r.changes += replacements
 			r.late += p.late + len(p.pending)
@@ -498,7 +498,7 @@
 		}
 		heardAt := p.heardAt
 		ends := endWithin * Millis(d.draw.Float64())
-		d.after(ends, func() {
+		d.schedule(ends, func() {
 			switch {
 			case p.heard && p.heardAt == heardAt:
 				p.lose()
--- a/logic/discovery_test.go
+++ b/logic/discovery_test.go
@@ -33,7 +33,7 @@
 }
 
 func newListCaller(t Terms) *listCaller {
-	c := &listCaller{Outgoing: nowhere{}, eventQueue: eventQueue{now: 1000}, heard: -1}
+	c := &listCaller{Outgoing: discardOutgoing{}, eventQueue: eventQueue{now: 1000}, heard: -1}
 	t.PullList, t.Notified = true, NotificationBounds{Reached: 6000, Moved: 4000, Ended: 2000}
 	t.MaxListWait = 1200
 	c.b = New(t, c, c.now)
@@ -42,7 +42,7 @@
 
 func (c *listCaller) SetTimer(after Millis, t TimerID) {
 	if t == 1 {
-		c.after(after, func() {
+		c.schedule(after, func() {
 			c.b.SetNow(c.now)
 			c.b.TimerFired(1)
 		})
@@ -55,7 +55,7 @@
 		fate, c.fates = c.fates[0], c.fates[1:]
 	}
 	c.calls = append(c.calls, c.now)
-	c.after(fate.lasts, func() {
+	c.schedule(fate.lasts, func() {
 		c.b.SetNow(c.now)
 		switch {
 		case version != c.version || c.heard >= 0:
@@ -70,7 +70,7 @@
 }
 
 func (c *listCaller) playUntil(end Millis) {
-	c.eventQueue.playUntil(end)
+	c.eventQueue.runUntil(end)
 	c.b.SetNow(c.now)
 }
 
@@ -270,7 +270,7 @@
 func (d *refusingDiscovery) Watch() {
 	d.calls = append(d.calls, d.now)
 	if d.refusals--; d.refusals >= 0 {
-		d.after(1, func() {
+		d.schedule(1, func() {
 			d.b.SetNow(d.now)
 			d.b.ListRefused(1, false)
 		})
@@ -279,7 +279,7 @@
 
 func (d *refusingDiscovery) SetTimer(after Millis, t TimerID) {
 	if t == 1 {
-		d.after(after, func() {
+		d.schedule(after, func() {
 			d.b.SetNow(d.now)
 			d.b.TimerFired(1)
 		})
@@ -290,7 +290,7 @@
 // any queue may take, since what a call cost it before says nothing now. While it was never away the old latency counts.
 func TestACallToADiscoveryThatWasAwayKeepsItsPlace(t *testing.T) {
 	for refusals, least := range map[int]Millis{faultsInARow + 2: queueWait, 1: furtherSoon} {
-		d := &refusingDiscovery{listCaller: listCaller{Outgoing: nowhere{}, eventQueue: eventQueue{now: 1000}}}
+		d := &refusingDiscovery{listCaller: listCaller{Outgoing: discardOutgoing{}, eventQueue: eventQueue{now: 1000}}}
 		d.b = New(Terms{PullList: true, Fleet: 8, MaxListWait: 1200, Notified: NotificationBounds{Reached: 6000, Moved: 4000, Ended: 2000}}, d, d.now)
 		d.b.ListEnds(false)
 		d.b.ListHeard(5)
--- a/logic/drain_queued_test.go
+++ b/logic/drain_queued_test.go
@@ -11,7 +11,7 @@
 // Exchanges that wait for room when an endpoint is told to drain, or tried there before, are not sent there when its room comes free.
 func TestQueuedExchangesAreNotSentToADrain(t *testing.T) {
 	for _, outcome := range []Outcome{Succeeded, Full, Reset} {
-		b, r := begin("ab")
+		b, r := newTestBalancer("ab")
 		out := map[EndpointID][]ExchangeID{}
 		for n := 0; len(b.queue) < 20 && n < 500; n++ {
 			x := ExchangeID(fmt.Sprint(n))
@@ -37,7 +37,7 @@
 				}
 			}
 		}
-		beats(b, 5)
+		runUpkeep(b, 5)
 		for _, line := range r.take("send") {
 			assert.NotRegexp(t, " a$", line, "outcome %d", outcome)
 		}
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -9,44 +9,44 @@
 )
 
 // record keeps what an instance asked for, one short line each.
-type record struct{ lines []string }
+type recorder struct{ lines []string }
 
-func (r *record) add(f string, a ...any) { r.lines = append(r.lines, fmt.Sprintf(f, a...)) }
+func (r *recorder) add(f string, a ...any) { r.lines = append(r.lines, fmt.Sprintf(f, a...)) }
 
-func (r *record) Send(x ExchangeID, to EndpointID, _ Millis) { r.add("send %s %s", x, to) }
-func (r *record) Cancel(x ExchangeID, n LegNo)               { r.add("cancel %s %d", x, n) }
-func (r *record) Shed(x ExchangeID, _ Reason, _ Millis)      { r.add("dismiss %s", x) }
-func (r *record) Fail(x ExchangeID, _ Reason)                { r.add("forfeit %s", x) }
-func (r *record) SetTimer(after Millis, t TimerID)           { r.add("wake %d %.4f", t, after) }
-func (r *record) NotifyPeer(to PeerID, text []byte)          { r.add("tell %d %x", to, text) }
-func (r *record) Probe(e EndpointID)                         { r.add("probe %s", e) }
-func (r *record) Watch()                                     { r.add("watch") }
-func (r *record) Note(line string)                           { r.add("note %s", line) }
+func (r *recorder) Send(x ExchangeID, to EndpointID, _ Millis) { r.add("send %s %s", x, to) }
+func (r *recorder) Cancel(x ExchangeID, n LegNo)               { r.add("cancel %s %d", x, n) }
+func (r *recorder) Shed(x ExchangeID, _ Reason, _ Millis)      { r.add("dismiss %s", x) }
+func (r *recorder) Fail(x ExchangeID, _ Reason)                { r.add("forfeit %s", x) }
+func (r *recorder) SetTimer(after Millis, t TimerID)           { r.add("wake %d %.4f", t, after) }
+func (r *recorder) NotifyPeer(to PeerID, text []byte)          { r.add("tell %d %x", to, text) }
+func (r *recorder) Probe(e EndpointID)                         { r.add("probe %s", e) }
+func (r *recorder) Watch()                                     { r.add("watch") }
+func (r *recorder) Note(line string)                           { r.add("note %s", line) }
 
 // take returns the lines that start with one of the words, and forgets all.
-func (r *record) take(words ...string) []string {
-	got := []string{}
+func (r *recorder) take(prefixes ...string) []string {
+	matched := []string{}
 	for _, l := range r.lines {
-		for _, w := range words {
+		for _, w := range prefixes {
 			if strings.HasPrefix(l, w) {
-				got = append(got, l)
+				matched = append(matched, l)
 			}
 		}
 	}
 	r.lines = nil
-	return got
+	return matched
 }
 
-const replayable, referenced, singleUse, farReaching = ProductID(0), ProductID(1), ProductID(2), ProductID(3)
+const replayable, referenced, singleUse, globalReferenced = ProductID(0), ProductID(1), ProductID(2), ProductID(3)
 
 // begin starts an instance with one endpoint for each letter of names, two to a cell.
-func begin(names string) (*Balancer, *record) {
-	r := &record{}
-	long := Product{Expected: 1000, Abandon: 4000, Value: 1, OverdueShare: 0.5, DedupMemory: 1000}
-	kinds := []Product{long, long, long, long}
-	kinds[0].Effect, kinds[1].Effect, kinds[3].Effect, kinds[3].Group = Retryable, Deduplicated, Deduplicated, AllEndpoints
+func newTestBalancer(names string) (*Balancer, *recorder) {
+	r := &recorder{}
+	base := Product{Expected: 1000, Abandon: 4000, Value: 1, OverdueShare: 0.5, DedupMemory: 1000}
+	products := []Product{base, base, base, base}
+	products[0].Effect, products[1].Effect, products[3].Effect, products[3].Group = Retryable, Deduplicated, Deduplicated, AllEndpoints
 	b := New(Terms{
-		Seed: 7, Fleet: 2, Products: kinds, Tenants: []float64{0.5, 0.5}, OverShareValue: 0.1, MaxLegs: 3,
+		Seed: 7, Fleet: 2, Products: products, Tenants: []float64{0.5, 0.5}, OverShareValue: 0.1, MaxLegs: 3,
 		MayHedge: true, MayCancel: true, PullList: true, AskWithin: 10000, ColdPeriod: 10000, FallWindow: 1000,
 		ColdFrom: 0.1, FallMultiple: 3, TimerTick: 5,
 	}, r, 1000)
@@ -59,13 +59,13 @@
 }
 
 // arrive hands in an exchange and returns where its leg went, "" if nowhere.
-func arrive(b *Balancer, r *record, x ExchangeID, p ProductID) EndpointID {
+func arrive(b *Balancer, r *recorder, x ExchangeID, p ProductID) EndpointID {
 	r.take()
 	b.Arrive(x, p, -1, 0, b.now+4000, 0, false)
 	return sentTo(r)
 }
 
-func sentTo(r *record) EndpointID {
+func sentTo(r *recorder) EndpointID {
 	if got := r.take("send"); len(got) > 0 {
 		return EndpointID(got[0][strings.LastIndex(got[0], " ")+1:])
 	}
@@ -73,7 +73,7 @@
 }
 
 // serve passes n exchanges that are answered in took; extra room keeps them out of the queue.
-func serve(b *Balancer, r *record, n int, took Millis) {
+func serve(b *Balancer, r *recorder, n int, took Millis) {
 	for i := range n {
 		x := ExchangeID(fmt.Sprintf("s%d-%d", b.latencyCount, i))
 		arrive(b, r, x, replayable)
@@ -84,17 +84,17 @@
 }
 
 // beats lets so many pulses pass.
-func beats(b *Balancer, n int) {
+func runUpkeep(b *Balancer, n int) {
 	for range n {
 		b.SetNow(b.now + b.upkeepInterval)
 		b.TimerFired(0)
 	}
 }
 
-func near(t assert.TestingT, want, got float64) { assert.InDelta(t, want, got, 1e-9) }
+func assertClose(t assert.TestingT, want, got float64) { assert.InDelta(t, want, got, 1e-9) }
 
 // about passes an exchange about a key, answered in took, and returns where it went, "" if nowhere.
-func about(b *Balancer, r *record, n int, key KeyID, took Millis) EndpointID {
+func serveWithKey(b *Balancer, r *recorder, n int, key KeyID, took Millis) EndpointID {
 	x := ExchangeID(fmt.Sprint(n))
 	r.take()
 	b.Arrive(x, replayable, -1, key, b.now+4000, 0, false)
@@ -106,42 +106,42 @@
 // eventQueue is virtual time: what happens later, in the order of its times.
 type eventQueue struct {
 	now    Millis
-	events laterEvents
-	order  int
+	events eventHeap
+	seq    int
 }
 
-type laterEvent struct {
-	at    Millis
-	order int
-	f     func()
+type scheduledEvent struct {
+	at  Millis
+	seq int
+	run func()
 }
 
-type laterEvents []laterEvent
+type eventHeap []scheduledEvent
 
-func (e laterEvents) Len() int      { return len(e) }
-func (e laterEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e laterEvents) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+func (e eventHeap) Len() int      { return len(e) }
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventHeap) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e *laterEvents) Push(x any) { *e = append(*e, x.(laterEvent)) }
-func (e *laterEvents) Pop() any {
+func (e *eventHeap) Push(x any) { *e = append(*e, x.(scheduledEvent)) }
+func (e *eventHeap) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
 	*e = (*e)[:last]
 	return x
 }
 
-func (q *eventQueue) after(pause Millis, f func()) {
-	q.order++
-	heap.Push(&q.events, laterEvent{q.now + max(pause, 0), q.order, f})
+func (q *eventQueue) schedule(delay Millis, run func()) {
+	q.seq++
+	heap.Push(&q.events, scheduledEvent{q.now + max(delay, 0), q.seq, run})
 }
 
 // playUntil lets happen what is due before a time.
-func (q *eventQueue) playUntil(end Millis) {
+func (q *eventQueue) runUntil(end Millis) {
 	for len(q.events) > 0 && q.events[0].at < end {
-		e := heap.Pop(&q.events).(laterEvent)
+		e := heap.Pop(&q.events).(scheduledEvent)
 		q.now = e.at
-		e.f()
+		e.run()
 	}
 	q.now = end
 }
--- a/logic/lease_test.go
+++ b/logic/lease_test.go
@@ -23,7 +23,7 @@
 
 func (w *leaseWorld) SetTimer(after Millis, t TimerID) {
 	w.timers++
-	w.after(after, func() {
+	w.schedule(after, func() {
 		w.timers--
 		w.b.SetNow(w.now)
 		w.b.TimerFired(t)
@@ -33,7 +33,7 @@
 func (w *leaseWorld) Send(x ExchangeID, _ EndpointID, _ Millis) {
 	w.sent = append(w.sent, w.now)
 	serving := w.serving
-	w.after(serving, func() {
+	w.schedule(serving, func() {
 		w.b.SetNow(w.now)
 		w.b.LegEnded(x, 0, Succeeded, serving, true)
 	})
@@ -52,7 +52,7 @@
 
 // newUnheardLeaseWorld starts at 1000 and has heard nothing.
 func newUnheardLeaseWorld(terms Terms) *leaseWorld {
-	w := &leaseWorld{Outgoing: nowhere{}, eventQueue: eventQueue{now: 1000}, serving: 1}
+	w := &leaseWorld{Outgoing: discardOutgoing{}, eventQueue: eventQueue{now: 1000}, serving: 1}
 	terms.PullList, terms.Fleet, terms.MaxListWait, terms.MaxLegs, terms.TimerTick = true, 6, 1200, 3, 5
 	terms.Notified = NotificationBounds{Reached: 6000, Moved: 4000, Ended: 2000}
 	terms.Products = []Product{{Effect: Retryable, Expected: 500, Abandon: 1000, Value: 1}}
@@ -64,7 +64,7 @@
 	w.arrived++
 	w.b.SetNow(w.now)
 	w.b.Arrive(ExchangeID(fmt.Sprint(w.arrived)), 0, -1, 0, w.now+1000, 0, false)
-	w.after(leaseRequestEvery, w.arrive)
+	w.schedule(leaseRequestEvery, w.arrive)
 }
 
 func (w *leaseWorld) hear() {
@@ -78,7 +78,7 @@
 }
 
 func (w *leaseWorld) play(end Millis) {
-	w.playUntil(end)
+	w.runUntil(end)
 	w.b.SetNow(w.now)
 }
 
@@ -120,7 +120,7 @@
 			w := newLeaseWorld(Terms{DrainGrace: c.grace})
 			w.play(10000)
 			c.event(w.b)
-			w.after(300, func() { w.b.SetNow(w.now); w.b.ListReached(false) })
+			w.schedule(300, func() { w.b.SetNow(w.now); w.b.ListReached(false) })
 			end := 10000 + c.ends + max(c.grace-leaseStall, 0)
 			w.play(end + 600)
 			assert.InDelta(t, float64(end-10000)/float64(leaseRequestEvery), w.sentIn(10000, end), 2, "until the lease ends")
@@ -194,7 +194,7 @@
 }
 
 func TestWithoutBoundsThereIsNoLease(t *testing.T) {
-	b, _ := begin("ab")
+	b, _ := newTestBalancer("ab")
 	b.ListHeard(1)
 	b.ListLost(0, true)
 	b.ListReached(true)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWeight(t *testing.T) {
+func TestOutcomesAdjustEndpointWeight(t *testing.T) {
 	for _, c := range []struct {
 		outcomes []Outcome
 		want     float64
@@ -25,31 +25,31 @@
 		{[]Outcome{Cancelled}, 1},
 		{[]Outcome{Errored, Errored, Errored, Errored, Errored, Errored}, 0.05},
 	} {
-		b, r := begin("a")
+		b, r := newTestBalancer("a")
 		for n, o := range c.outcomes {
 			x := ExchangeID(fmt.Sprint(n))
 			arrive(b, r, x, singleUse)
 			b.LegEnded(x, 0, o, 100, false)
 		}
-		near(t, c.want, b.byID["a"].weight)
+		assertClose(t, c.want, b.byID["a"].weight)
 	}
 }
 
-func TestNewcomerStartsAtTheOthersMean(t *testing.T) {
-	b, _ := begin("ab")
+func TestNewEndpointStartsAtMeanWeight(t *testing.T) {
+	b, _ := newTestBalancer("ab")
 	b.byID["a"].weight = 0.5
 	b.Listed("c", Running, 0, 0, 0, 1, 0)
-	near(t, 0.75, b.byID["c"].weight)
+	assertClose(t, 0.75, b.byID["c"].weight)
 }
 
-func TestPickTakesTheOneWithFewerLegs(t *testing.T) {
-	b, r := begin("ab")
+func TestPickPrefersEndpointWithFewerLegs(t *testing.T) {
+	b, r := newTestBalancer("ab")
 	first := arrive(b, r, "x", singleUse)
 	assert.NotEqual(t, first, arrive(b, r, "y", singleUse), "the other has none in flight")
 }
 
 func TestPickDrawsByWeight(t *testing.T) {
-	b, r := begin("abc")
+	b, r := newTestBalancer("abc")
 	b.byID["a"].weight, b.byID["b"].weight, b.byID["c"].weight = 0.05, 1, 1
 	got := map[EndpointID]int{}
 	for n := range 400 {
@@ -61,22 +61,22 @@
 	assert.Greater(t, got["a"], 0)
 }
 
-func TestTimerIsAPercentileAfter20Samples(t *testing.T) {
-	b, r := begin("abcd")
+func TestHedgeTimerIsPercentileAfter20Samples(t *testing.T) {
+	b, r := newTestBalancer("abcd")
 	for n := range 20 {
 		assert.Zero(t, b.hedgeDelay)
 		serve(b, r, 1, Millis(10*(n+1)))
 	}
-	near(t, 190, float64(b.hedgeDelay)) // of 20, the last but one
+	assertClose(t, 190, float64(b.hedgeDelay)) // of 20, the last but one
 }
 
-func TestCopy(t *testing.T) {
+func TestHedgeConditions(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		product ProductID
-		ratio   float64
-		late    float64
-		copies  int
+		name         string
+		product      ProductID
+		ratio        float64
+		longTermLoss float64
+		hedges       int
 	}{
 		{"replayable", replayable, 0, 0, 1},
 		{"referenced, inside its cell", referenced, 0, 0, 1},
@@ -84,15 +84,15 @@
 		{"no room in the ratio", replayable, 0.1, 0, 0},
 		{"a slowdown shared by all", replayable, 0, 0.5, 0},
 	} {
-		b, r := begin("abcd")
+		b, r := newTestBalancer("abcd")
 		serve(b, r, 40, 50)
-		b.hedgeRatio, b.lossShareLong = c.ratio, c.late
+		b.hedgeRatio, b.lossShareLong = c.ratio, c.longTermLoss
 		first := arrive(b, r, "x", c.product)
 		x := b.exchanges["x"]
 		b.SetNow(b.now + b.hedgeDelay)
 		b.TimerFired(TimerID(x.slot)<<40 | TimerID(x.generation)<<8 | TimerID(hedgeDue)<<4 | 2)
 		to := sentTo(r)
-		assert.Equal(t, c.copies == 1, to != "", c.name)
+		assert.Equal(t, c.hedges == 1, to != "", c.name)
 		if to != "" {
 			assert.NotEqual(t, first, to, c.name)
 			assert.Equal(t, c.product == referenced, b.byID[first].cell == b.byID[to].cell && c.product == referenced)
@@ -102,48 +102,48 @@
 	}
 }
 
-func TestRatioSlidesAndRefreshes(t *testing.T) {
-	b, r := begin("abcd")
+func TestHedgeRatioWindowSlidesAndRefreshes(t *testing.T) {
+	b, r := newTestBalancer("abcd")
 	serve(b, r, 10, 10)
 	b.hedgeWindow[b.hedgeSlot].hedges = 2
-	near(t, 0, b.hedgeRatio)
-	beats(b, 26) // past the refresh
-	near(t, 0.2, b.hedgeRatio)
-	beats(b, 26) // past the window
-	near(t, 0, b.hedgeRatio)
+	assertClose(t, 0, b.hedgeRatio)
+	runUpkeep(b, 26) // past the refresh
+	assertClose(t, 0.2, b.hedgeRatio)
+	runUpkeep(b, 26) // past the window
+	assertClose(t, 0, b.hedgeRatio)
 }
 
-func TestEffectsAgainstOutcomes(t *testing.T) {
-	none := []string{}
+func TestRetryByEffectAndOutcome(t *testing.T) {
+	noAnswer := []string{}
 	for _, c := range []struct {
 		product ProductID
 		outcome Outcome
-		again   bool
+		retried bool
 		final   []string
 	}{
-		{replayable, Errored, true, none}, {replayable, TimedOut, true, none}, {replayable, NoConnection, true, none},
-		{referenced, Errored, true, none}, {referenced, Full, true, none}, {farReaching, Reset, true, none},
-		{singleUse, NoConnection, true, none}, {singleUse, Full, true, none}, {singleUse, NotSent, true, none},
+		{replayable, Errored, true, noAnswer}, {replayable, TimedOut, true, noAnswer}, {replayable, NoConnection, true, noAnswer},
+		{referenced, Errored, true, noAnswer}, {referenced, Full, true, noAnswer}, {globalReferenced, Reset, true, noAnswer},
+		{singleUse, NoConnection, true, noAnswer}, {singleUse, Full, true, noAnswer}, {singleUse, NotSent, true, noAnswer},
 		{singleUse, Errored, false, []string{"forfeit x"}}, {singleUse, TimedOut, false, []string{"forfeit x"}},
 		{singleUse, Unknown, false, []string{"forfeit x"}}, {singleUse, Cancelled, false, []string{"forfeit x"}},
 		{-1, Reset, false, []string{"forfeit x"}},
 	} {
-		b, r := begin("abcd")
+		b, r := newTestBalancer("abcd")
 		first := arrive(b, r, "x", c.product)
 		b.LegEnded("x", 0, c.outcome, 10, false)
 		final := r.lines
 		to := sentTo(r)
-		assert.Equal(t, c.again, to != "", "%v", c)
-		assert.Equal(t, c.final, (&record{lines: final}).take("dismiss", "forfeit"), "%v", c)
+		assert.Equal(t, c.retried, to != "", "%v", c)
+		assert.Equal(t, c.final, (&recorder{lines: final}).take("dismiss", "forfeit"), "%v", c)
 		if c.product == referenced && c.outcome == Errored {
 			assert.Equal(t, b.byID[first].cell, b.byID[to].cell, "only its cell knows the mark")
 		}
 	}
 }
 
-func TestNoRetryBudgetNoFurtherLeg(t *testing.T) {
-	for p, want := range map[ProductID]string{replayable: "dismiss x", referenced: "forfeit x", farReaching: "dismiss x"} {
-		b, r := begin("abcd")
+func TestNoFurtherLegWithoutRetryBudget(t *testing.T) {
+	for p, want := range map[ProductID]string{replayable: "dismiss x", referenced: "forfeit x", globalReferenced: "dismiss x"} {
+		b, r := newTestBalancer("abcd")
 		b.retryTokens = 0.5
 		arrive(b, r, "x", p)
 		b.LegEnded("x", 0, Errored, 10, false)
@@ -151,9 +151,9 @@
 	}
 }
 
-func TestReferencedOnlyWhileItsGroupRemembers(t *testing.T) {
+func TestReferencedRetryOnlyWithinDedupPeriod(t *testing.T) {
 	for wait, want := range map[Millis]bool{700: true, 1000: false} {
-		b, r := begin("ab")
+		b, r := newTestBalancer("ab")
 		arrive(b, r, "x", referenced)
 		b.SetNow(b.now + wait)
 		b.LegEnded("x", 0, Errored, wait, false)
@@ -161,18 +161,18 @@
 	}
 }
 
-func TestDrainsAndTheListGone(t *testing.T) {
-	for name, tell := range map[string]func(b *Balancer){
+func TestDrainedAndUnlistedEndpointsGetNoLegs(t *testing.T) {
+	for name, update := range map[string]func(b *Balancer){
 		"stopping": func(b *Balancer) { b.Listed("a", NotRunning, 0, 0, 0, 1, 0); b.ListEnds(false) },
 		"absent":   func(b *Balancer) { b.ListStarts(); b.Listed("b", Running, 0, 0, 0, 1, 0); b.ListEnds(false) },
 	} {
-		b, r := begin("ab")
-		tell(b)
+		b, r := newTestBalancer("ab")
+		update(b)
 		for n := range 8 {
 			assert.NotEqual(t, EndpointID("a"), arrive(b, r, ExchangeID(fmt.Sprint(n)), singleUse), name)
 		}
 	}
-	b, r := begin("")
+	b, r := newTestBalancer("")
 	arrive(b, r, "x", replayable)
 	assert.Empty(t, b.exchanges, "answered at once, nothing kept")
 	b.ListFailed()
@@ -181,16 +181,16 @@
 	assert.Equal(t, []string{"watch"}, r.take("watch"))
 }
 
-func TestColdBudget(t *testing.T) {
-	b, r := begin("ab")
+func TestColdEndpointStaysWithinTokenBudget(t *testing.T) {
+	b, r := newTestBalancer("ab")
 	b.SetNow(1e6) // nothing was lost lately
 	b.Listed("c", Running, 0, 0, 1, 1, b.now)
 	b.ListEnds(false)
-	c := 0
+	coldLegs := 0
 	for n := range 500 {
 		x := ExchangeID(fmt.Sprint(n))
 		if arrive(b, r, x, replayable) == "c" {
-			c++
+			coldLegs++
 		}
 		b.SetNow(b.now + 4)
 		b.LegEnded(x, 0, Succeeded, 4, true)
@@ -199,27 +199,27 @@
 		}
 	}
 	// 2 s at 250 a second over three endpoints, at a little over a tenth of its capacity, times 1.2.
-	assert.Less(t, c, 50)
-	assert.Greater(t, c, 0)
+	assert.Less(t, coldLegs, 50)
+	assert.Greater(t, coldLegs, 0)
 }
 
-func TestStaleTimersAndLateOutcomes(t *testing.T) {
-	b, r := begin("abcd")
+func TestStaleTimersAndLateOutcomesAreIgnored(t *testing.T) {
+	b, r := newTestBalancer("abcd")
 	serve(b, r, 20, 50)
 	arrive(b, r, "x", replayable)
 	stale := TimerID(b.exchanges["x"].slot)<<40 | TimerID(b.exchanges["x"].generation)<<8 | TimerID(hedgeDue)<<4 | 2
 	b.LegEnded("x", 0, Succeeded, 50, true)
 	arrive(b, r, "y", replayable)
-	place := b.exchanges["y"].slot
-	assert.Equal(t, place, int(stale>>40), "the place is used again")
+	slot := b.exchanges["y"].slot
+	assert.Equal(t, slot, int(stale>>40), "the place is used again")
 	b.TimerFired(stale)
 	b.LegEnded("x", 0, Succeeded, 50, true)
 	assert.Empty(t, r.take("send", "cancel", "dismiss"))
 	assert.Equal(t, 1, b.legsInFlight)
 }
 
-func TestClientGoneAndLastTimeOut(t *testing.T) {
-	b, r := begin("ab")
+func TestClientGoneCancelsAndLastTimeoutFails(t *testing.T) {
+	b, r := newTestBalancer("ab")
 	arrive(b, r, "x", replayable)
 	b.ClientLeft("x")
 	assert.Equal(t, []string{"cancel x 0"}, r.take("cancel", "forfeit", "dismiss"))
@@ -231,8 +231,8 @@
 	assert.Equal(t, []string{"forfeit y"}, r.take("forfeit", "dismiss"))
 }
 
-func TestStreamBelongsToTheClient(t *testing.T) {
-	b, r := begin("ab")
+func TestStreamedAnswerIsNeitherHedgedNorCancelled(t *testing.T) {
+	b, r := newTestBalancer("ab")
 	arrive(b, r, "x", replayable)
 	b.StreamBegan("x", 0)
 	b.TimerFired(TimerID(hedgeDue)<<4 | 2)
@@ -242,42 +242,42 @@
 }
 
 // A hung endpoint must be left alone before its legs time out, and be found again later.
-func TestSilence(t *testing.T) {
-	b, r := begin("abc")
+func TestHungEndpointIsAvoidedBeforeTimeout(t *testing.T) {
+	b, r := newTestBalancer("abc")
 	serve(b, r, 60, 50)
 	hung := arrive(b, r, "x", replayable)
-	beats(b, 5)
+	runUpkeep(b, 5)
 	assert.True(t, b.exchanges["x"].legs[0].lost, "counted while it is still out")
 	b.hedgeRatio = 1 // no copies
-	got := 0
+	legsWhileHung := 0
 	for n := range 100 {
 		x := ExchangeID(fmt.Sprint(n))
 		if arrive(b, r, x, replayable) == hung {
-			got++
+			legsWhileHung++
 		}
 		b.LegEnded(x, 0, Succeeded, 50, true)
 	}
-	assert.Less(t, got, 10)
+	assert.Less(t, legsWhileHung, 10)
 	b.LegEnded("x", 0, TimedOut, 4000, false)
 	b.ClientLeft("x")
-	found := 0
+	legsLater := 0
 	for range 1000 {
-		beats(b, 1)
+		runUpkeep(b, 1)
 		x := ExchangeID(fmt.Sprint(b.now))
 		if arrive(b, r, x, replayable) == hung {
-			found++
+			legsLater++
 		}
 		b.LegEnded(x, 0, Succeeded, 50, true)
 	}
-	assert.Greater(t, found, 20)
+	assert.Greater(t, legsLater, 20)
 }
 
 // A light sidecar must not meet slow servers anew all day: it keeps to a few that answer in time.
-func TestFamiliarOnes(t *testing.T) {
-	b, r := begin("abcdefghijklmnopqrstuvwxyz")
+func TestLightSidecarKeepsToKnownGoodEndpoints(t *testing.T) {
+	b, r := newTestBalancer("abcdefghijklmnopqrstuvwxyz")
 	slow, legs := 0, 0
 	for n := range 400 {
-		beats(b, 3)
+		runUpkeep(b, 3)
 		x := ExchangeID(fmt.Sprint(n))
 		to := arrive(b, r, x, singleUse)
 		if to == "" {
@@ -297,34 +297,34 @@
 
 // In a large fleet lost legs must shed exchanges, the less worthy first, and asking again at once must not help;
 // a shut sidecar, which hears nothing, must open again, and a small fleet leaves it to its rooms.
-func TestAdmission(t *testing.T) {
+func TestSheddingFollowsLossRate(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		fleet      float64
-		lost, long float64
-		least      int // of 100 of each product
-		most       int
+		name           string
+		fleet          float64
+		lost, longTerm float64
+		least          int // of 100 of each product
+		most           int
 	}{
 		{"well", 100, 0.1, 0.1, 200, 200}, {"two late ones in a row", 100, 0.45, 0.05, 80, 200},
 		{"overload", 100, 0.7, 0.5, 0, 20}, {"overload in a small fleet", 3, 0.7, 0.5, 200, 200},
 	} {
-		b, _ := begin("abcd")
+		b, _ := newTestBalancer("abcd")
 		b.minLimit, b.legRate = min(fleetMinLimit/c.fleet, 1), 0.002
-		b.lossShare, b.lossShareLong, b.products[referenced].Value = c.lost, c.long, 5
-		got := map[ProductID]int{}
+		b.lossShare, b.lossShareLong, b.products[referenced].Value = c.lost, c.longTerm, 5
+		admitted := map[ProductID]int{}
 		for range 100 {
 			for _, p := range []ProductID{replayable, referenced} {
 				b.shedUntil = 0
 				if b.admit(&exchange{product: &b.products[p], tenant: -1}, false) == LegsFailed {
-					got[p]++
+					admitted[p]++
 				}
 			}
 		}
-		sum := got[replayable] + got[referenced]
-		assert.True(t, sum >= c.least && sum <= c.most, "%s: %v", c.name, got)
-		assert.GreaterOrEqual(t, got[referenced], got[replayable], c.name)
+		total := admitted[replayable] + admitted[referenced]
+		assert.True(t, total >= c.least && total <= c.most, "%s: %v", c.name, admitted)
+		assert.GreaterOrEqual(t, admitted[referenced], admitted[replayable], c.name)
 	}
-	b, r := begin("abcd")
+	b, r := newTestBalancer("abcd")
 	b.minLimit, b.legRate, b.lossShare, b.lossShareLong = 0.04, 0.002, 1, 0.5
 	arrive(b, r, "first", replayable)
 	b.lossShare, b.lossShareLong = 0, 0
@@ -332,35 +332,35 @@
 	b.SetNow(b.now + b.upkeepInterval)
 	assert.NotEmpty(t, arrive(b, r, "later", replayable))
 	b.lossShare, b.lossShareLong = 1, 0.5
-	beats(b, 600)
-	near(t, 0, b.overload())
+	runUpkeep(b, 600)
+	assertClose(t, 0, b.overload())
 }
 
 // lightSidecar sends 400 single-use exchanges, one each so many ms, as one of 300 before twelve endpoints; overdue is what a late answer keeps, leg says what becomes
 // of each. The last 300 that it dismissed are counted.
-func lightSidecar(every Millis, overdue float64, leg func(b *Balancer, x ExchangeID, n int)) (b *Balancer, dismissed int) {
-	b, r := begin("abcdefghijkl")
+func runLightSidecar(interval Millis, overdue float64, endLeg func(b *Balancer, x ExchangeID, n int)) (b *Balancer, shedCount int) {
+	b, r := newTestBalancer("abcdefghijkl")
 	b.minLimit, b.fleet, b.products[singleUse].OverdueShare = fleetMinLimit/300, 300, overdue
 	for n := range 400 {
-		b.SetNow(b.now + every)
+		b.SetNow(b.now + interval)
 		b.upkeep()
 		x := ExchangeID(fmt.Sprint(n))
 		if arrive(b, r, x, singleUse) != "" {
-			leg(b, x, n)
+			endLeg(b, x, n)
 			continue
 		}
 		b.ClientLeft(x)
 		if n >= 100 {
-			dismissed++
+			shedCount++
 		}
 	}
-	return b, dismissed
+	return b, shedCount
 }
 
 // Legs that are lost while answers come as fast as ever, to a cut, lost answers or work that varies much beside its time, are
 // no overload: dismissing saves none of them. Answers that all take longer are one, and so is an endpoint's word that it is
 // full. What an instance saw before it knew its products' best does not hold it back for ever.
-func TestLostLegsAloneAreNoOverload(t *testing.T) {
+func TestLostLegsWithoutSlowerAnswersAreNoOverload(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		slower      float64 // answers' time over that of the first part
@@ -370,19 +370,19 @@
 		{"all well", 1, 0, 0, 0, 0}, {"a fifth lost", 1, 2, 0, 0, 15}, {"nearly all lost", 1, 8, 0, 150, 300},
 		{"slower, none lost", 2.5, 0, 0, 0, 0}, {"slower, a third lost", 2.5, 3, 0, 60, 300}, {"full, a third lost", 1, 1, 3, 60, 300},
 	} {
-		dice := uint64(1)
-		b, dismissed := lightSidecar(250, 0.5, func(b *Balancer, x ExchangeID, n int) {
-			dice = dice*6364136223846793005 + 1442695040888963407
-			tenth, took := int(dice>>40%10), 40*math.Exp(float64(dice>>33%1000)/1000-0.5)
+		rng := uint64(1)
+		b, shedCount := runLightSidecar(250, 0.5, func(b *Balancer, x ExchangeID, n int) {
+			rng = rng*6364136223846793005 + 1442695040888963407
+			draw, took := int(rng>>40%10), 40*math.Exp(float64(rng>>33%1000)/1000-0.5)
 			switch {
 			case n < 100:
-			case tenth < c.lost:
+			case draw < c.lost:
 				b.SetNow(b.now + 1000)
 				b.LegEnded(x, 0, TimedOut, 1000, false)
 				return
-			case tenth < c.lost+c.full:
+			case draw < c.lost+c.full:
 				leg := LegNo(0)
-				for b.LegEnded(x, leg, Full, 1, false); sentTo(b.Outgoing.(*record)) != ""; b.LegEnded(x, leg, Full, 1, false) {
+				for b.LegEnded(x, leg, Full, 1, false); sentTo(b.Outgoing.(*recorder)) != ""; b.LegEnded(x, leg, Full, 1, false) {
 					leg++ // full everywhere
 				}
 				b.ClientLeft(x)
@@ -393,23 +393,23 @@
 			b.SetNow(b.now + Millis(took))
 			b.LegEnded(x, 0, Succeeded, Millis(took), true)
 		})
-		assert.True(t, dismissed >= c.least && dismissed <= c.most, "%s: %d dismissed, lost %.2f %.2f", c.name, dismissed, b.lossShare, b.lossShareLong)
+		assert.True(t, shedCount >= c.least && shedCount <= c.most, "%s: %d dismissed, lost %.2f %.2f", c.name, shedCount, b.lossShare, b.lossShareLong)
 	}
 }
 
 // Work that varies much is no overload: a sixth of exponential times lies beyond 1.8 times their mean, however idle all are.
 // Where each takes three times as long, it is one.
-func TestWorkThatVariesIsNoOverload(t *testing.T) {
+func TestHighVarianceWorkIsNoOverload(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		slower      float64
 		least, most int     // dismissed of 300
 		lost        float64 // share of legs that counts as lost, in the mean, at the most
 	}{{"idle", 1, 0, 20, 0.06}, {"crowded", 3, 60, 300, 1}} {
-		dice, shares, legs := uint64(1), 0.0, 0.0
-		b, dismissed := lightSidecar(1000, 0, func(b *Balancer, x ExchangeID, n int) {
-			dice = dice*6364136223846793005 + 1442695040888963407
-			took := -330 * math.Log(float64(dice>>33%1000)/1000+0.0005) // of the 1,000 that it has
+		rng, lossSum, legs := uint64(1), 0.0, 0.0
+		b, shedCount := runLightSidecar(1000, 0, func(b *Balancer, x ExchangeID, n int) {
+			rng = rng*6364136223846793005 + 1442695040888963407
+			took := -330 * math.Log(float64(rng>>33%1000)/1000+0.0005) // of the 1,000 that it has
 			if n >= 100 {
 				took *= c.slower
 			}
@@ -420,38 +420,38 @@
 				b.LegEnded(x, 0, Succeeded, Millis(took), true)
 			}
 			if n >= 100 {
-				shares, legs = shares+b.lossShare, legs+1
+				lossSum, legs = lossSum+b.lossShare, legs+1
 			}
 		})
-		assert.True(t, dismissed >= c.least && dismissed <= c.most, "%s: %d dismissed, lost %.2f %.2f", c.name, dismissed, b.lossShare, b.lossShareLong)
-		assert.LessOrEqual(t, shares/legs, c.lost, c.name)
+		assert.True(t, shedCount >= c.least && shedCount <= c.most, "%s: %d dismissed, lost %.2f %.2f", c.name, shedCount, b.lossShare, b.lossShareLong)
+		assert.LessOrEqual(t, lossSum/legs, c.lost, c.name)
 	}
 }
 
 // Quick failures must not draw traffic by their short queue.
-func TestFastErrors(t *testing.T) {
-	b, r := begin("abc")
-	got := 0
+func TestFastErrorsDoNotAttractTraffic(t *testing.T) {
+	b, r := newTestBalancer("abc")
+	legs := 0
 	for n := range 200 {
 		x := ExchangeID(fmt.Sprint(n))
 		if to := arrive(b, r, x, replayable); to == "a" {
-			got++
+			legs++
 			b.LegEnded(x, 0, Errored, 1, false)
-			if again := b.exchanges[x]; again != nil {
+			if retried := b.exchanges[x]; retried != nil {
 				b.LegEnded(x, 1, Succeeded, 50, true)
 			}
 		} else {
 			b.LegEnded(x, 0, Succeeded, 50, true)
 		}
 	}
-	assert.Less(t, got, 12)
+	assert.Less(t, legs, 12)
 }
 
 // What a new process is asked before its first answer waits for room: how long answers take is not known yet. Where none
 // comes, each is given up while half of its time is left.
-func TestFirstExchangesOfANewProcess(t *testing.T) {
+func TestNewProcessQueuesExchangesBeforeFirstAnswer(t *testing.T) {
 	for _, names := range []string{"a", "ab"} {
-		b, r := begin(names)
+		b, r := newTestBalancer(names)
 		r.take()
 		for n := range 8 {
 			b.Arrive(ExchangeID(fmt.Sprint(n)), replayable, -1, 0, b.now+4000, 0, false)
@@ -479,20 +479,20 @@
 }
 
 // Crowded endpoints must get less; what waits goes by value for work, beyond a share last.
-func TestRoomAndQueue(t *testing.T) {
-	b, r := begin("a")
+func TestConcurrencyLimitAndQueueOrder(t *testing.T) {
+	b, r := newTestBalancer("a")
 	a := b.byID["a"]
 	a.limit = 1.5
 	serve(b, r, 5, 100)
-	wide := a.limit
-	assert.Greater(t, wide, 1.5)
+	raised := a.limit
+	assert.Greater(t, raised, 1.5)
 	serve(b, r, 1, 450)
-	assert.Less(t, a.limit, wide)
+	assert.Less(t, a.limit, raised)
 	a.limit = 1
 	b.products[3].Value = 5
 	arrive(b, r, "x", singleUse)
 	assert.Empty(t, arrive(b, r, "low", replayable))
-	assert.Empty(t, arrive(b, r, "high", farReaching))
+	assert.Empty(t, arrive(b, r, "high", globalReferenced))
 	b.LegEnded("x", 0, Succeeded, 100, true)
 	assert.Equal(t, "send high a", r.take("send")[0])
 	b.admitted[0], b.admitted[1], b.admittedTotal = 9, 1, 10
@@ -505,7 +505,7 @@
 }
 
 // Work that takes long by itself must not narrow rooms as crowding does.
-func TestLate(t *testing.T) {
+func TestLatenessThresholdFollowsBestLatency(t *testing.T) {
 	for _, c := range []struct {
 		best float64
 		took Millis
@@ -513,7 +513,7 @@
 	}{
 		{100, 390, false}, {100, 410, true}, {250, 440, false}, {250, 460, true}, {400, 490, false}, {400, 510, true},
 	} {
-		b, r := begin("a")
+		b, r := newTestBalancer("a")
 		b.products[replayable].bestLatency, b.products[replayable].answers = c.best, hedgeMinSamples
 		b.products[replayable].typicalLatency = 600
 		arrive(b, r, "x", replayable)
@@ -523,9 +523,9 @@
 }
 
 // A large fleet must not hold a leg of each sidecar at each server, which crowds them all.
-func TestRoomsOfALargeFleet(t *testing.T) {
+func TestConcurrencyLimitsInALargeFleet(t *testing.T) {
 	for fleet, most := range map[int]int{1: 5, 40: 4} {
-		b, r := begin("abcd")
+		b, r := newTestBalancer("abcd")
 		b.minLimit = min(fleetMinLimit/float64(fleet), 1)
 		for n := range 100 {
 			x := ExchangeID(fmt.Sprint(n))
@@ -545,8 +545,8 @@
 }
 
 // Rooms won in calm, a leg or two at each of many servers, must not let a burst in whole.
-func TestRoomsDoNotGrowUnused(t *testing.T) {
-	b, r := begin("abcdefghijklmnopqrstuvwxyz")
+func TestUnusedConcurrencyLimitsDoNotGrow(t *testing.T) {
+	b, r := newTestBalancer("abcdefghijklmnopqrstuvwxyz")
 	b.minLimit = 0.04
 	for _, e := range b.ready {
 		e.limit = b.minLimit
@@ -560,43 +560,43 @@
 
 // A server that is gone but still listed must be left after a few quick failures, whatever its record,
 // and must not take the overflow of full ones.
-func TestGoneServerGetsNoOverflow(t *testing.T) {
-	b, r := begin("abc")
+func TestUnreachableEndpointGetsNoOverflow(t *testing.T) {
+	b, r := newTestBalancer("abc")
 	serve(b, r, 200, 50)
-	got := 0
+	legs := 0
 	for n := range 60 {
 		x := ExchangeID(fmt.Sprint(n))
 		b.byID["b"].limit, b.byID["c"].limit, b.retryTokens = 1, 1, 0
 		if to := arrive(b, r, x, singleUse); to == "a" {
-			got++
+			legs++
 			b.LegEnded(x, 0, NoConnection, 1, false)
 		}
 	}
-	assert.Less(t, got, 12)
+	assert.Less(t, legs, 12)
 	assert.True(t, b.byID["a"].suspect)
 }
 
 // A slowdown shared by all must eject none and stop the copies.
-func TestSharedTroubleEjectsNone(t *testing.T) {
-	b, r := begin("abcd")
+func TestSharedSlowdownEjectsNoEndpoint(t *testing.T) {
+	b, r := newTestBalancer("abcd")
 	for _, e := range b.ready {
 		e.failures, e.successes = 8, 1
 		b.updateSuspect(e)
 		e.failures, e.successes = 8, 1
 	}
 	assert.True(t, b.mostSuspect)
-	got := map[EndpointID]bool{}
+	used := map[EndpointID]bool{}
 	for n := range 40 {
 		x := ExchangeID(fmt.Sprint(n))
-		got[arrive(b, r, x, singleUse)] = true
+		used[arrive(b, r, x, singleUse)] = true
 		b.LegEnded(x, 0, Cancelled, 1, true)
 	}
-	assert.Len(t, got, 4)
+	assert.Len(t, used, 4)
 }
 
 // Machines that take longer must get less, by what they can do: their legs stay in flight.
-func TestUnequalMachines(t *testing.T) {
-	b, r := begin("abcd")
+func TestSlowMachinesGetFewerLegs(t *testing.T) {
+	b, r := newTestBalancer("abcd")
 	got := map[EndpointID]int{}
 	slow := []ExchangeID{}
 	for n := range 300 {
@@ -616,7 +616,7 @@
 }
 
 // The own zone comes first; without room there, or cut off from it, the others carry the work.
-func TestZones(t *testing.T) {
+func TestOwnZoneIsPreferred(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		room        float64
@@ -627,7 +627,7 @@
 		{"own zone full", 0, false, 60, 60},
 		{"own zone gone", 4, true, 60, 60},
 	} {
-		b, r := begin("abcd")
+		b, r := newTestBalancer("abcd")
 		for _, id := range []EndpointID{"c", "d"} {
 			b.Listed(id, Running, 1, 0, 9, 1, 0)
 		}
@@ -655,12 +655,12 @@
 }
 
 // Sidecars restarted together must not herd on one endpoint, nor ask the list service in step.
-func TestRestartedSidecarsSpread(t *testing.T) {
-	first, waits := map[EndpointID]int{}, map[string]bool{}
+func TestRestartedSidecarsSpreadFirstLegsAndListCalls(t *testing.T) {
+	firstTargets, waits := map[EndpointID]int{}, map[string]bool{}
 	for seed := range uint64(40) {
-		b, r := begin("abcd")
+		b, r := newTestBalancer("abcd")
 		b.rng ^= seed * 0x9e3779b97f4a7c15
-		first[arrive(b, r, "x", replayable)]++
+		firstTargets[arrive(b, r, "x", replayable)]++
 		before := b.listBackoff
 		b.ListFailed()
 		waits[r.take("wake 1 ")[0]] = true
@@ -670,33 +670,33 @@
 		}
 		assert.LessOrEqual(t, 1.5*float64(b.listBackoff), 10000.0/2, "well inside ask-within")
 	}
-	assert.Len(t, first, 4)
+	assert.Len(t, firstTargets, 4)
 	assert.Len(t, waits, 40)
 }
 
 // However long a deployment lets its sidecars go without asking, and however many there are, no wait behind a failed call is
 // longer than its bound, and all of them don't ask in step.
-func TestWaitsForTheListAreBounded(t *testing.T) {
-	for _, within := range []Millis{100, 1000, 4000, 10000, 60000} {
+func TestListCallBackoffIsBounded(t *testing.T) {
+	for _, askWithin := range []Millis{100, 1000, 4000, 10000, 60000} {
 		for _, fleet := range []int{1, 5, 20, 30, 350, 1024} {
-			for _, most := range []Millis{0, 500, 2340} {
+			for _, bound := range []Millis{0, 500, 2340} {
 				waits := map[string]bool{}
 				for seed := range uint64(8) {
-					r := &record{}
-					b := New(Terms{Seed: seed, Fleet: fleet, PullList: true, HasList: true, AskWithin: within, MaxListWait: most}, r, 1000)
+					r := &recorder{}
+					b := New(Terms{Seed: seed, Fleet: fleet, PullList: true, HasList: true, AskWithin: askWithin, MaxListWait: bound}, r, 1000)
 					for range 12 {
 						b.ListFailed()
 					}
-					unbounded := within * Millis(1+fleetListBackoffRatio*(1-math.Min(fleetMinLimit/float64(fleet), 1))) * maxListBackoffRatio
+					unbounded := askWithin * Millis(1+fleetListBackoffRatio*(1-math.Min(fleetMinLimit/float64(fleet), 1))) * maxListBackoffRatio
 					for _, line := range r.take("wake 1 ") {
 						var wait float64
 						_, err := fmt.Sscanf(line, "wake 1 %g", &wait)
 						require.NoError(t, err, line)
 						waits[line] = true
-						if most > 0 {
-							assert.LessOrEqual(t, wait, float64(most)+1, "%v %d", within, fleet)
+						if bound > 0 {
+							assert.LessOrEqual(t, wait, float64(bound)+1, "%v %d", askWithin, fleet)
 						}
-						assert.LessOrEqual(t, wait, 1.5*float64(unbounded)+1, "%v %d", within, fleet)
+						assert.LessOrEqual(t, wait, 1.5*float64(unbounded)+1, "%v %d", askWithin, fleet)
 					}
 				}
 				assert.Greater(t, len(waits), 60, "spread")
@@ -705,18 +705,18 @@
 	}
 }
 
-func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	for name, change := range map[string]func(b *Balancer){
+func TestOrdinaryPathDoesNotAllocate(t *testing.T) {
+	for name, configure := range map[string]func(b *Balancer){
 		"plain": func(*Balancer) {}, "keys": func(b *Balancer) { b.warmKeys = true },
 		"a ration": func(b *Balancer) { b.legBudget = legBudget{free: 3, ratio: 0.1, window: 5000} },
 		"asked":    func(b *Balancer) { b.canProbe, b.maxProbes, b.reportTests, b.freshShare = true, 2, reportAgeTests, 1 },
 	} {
-		b, _ := begin("abcd")
-		b.Outgoing = nowhere{}
-		change(b)
+		b, _ := newTestBalancer("abcd")
+		b.Outgoing = discardOutgoing{}
+		configure(b)
 		ids := []ExchangeID{"p", "q", "r"}
 		n := 0
-		pass := func() {
+		runExchange := func() {
 			id := ids[n%3]
 			n++
 			b.SetNow(b.now + 50)
@@ -732,28 +732,28 @@
 			}
 		}
 		for range 400 {
-			pass()
+			runExchange()
 		}
-		assert.Zero(t, testing.AllocsPerRun(200, pass), name)
+		assert.Zero(t, testing.AllocsPerRun(200, runExchange), name)
 		assert.LessOrEqual(t, len(b.legBudget.exchanges.times), 111, "what has left the window is let go though nobody asks")
 	}
 }
 
-type nowhere struct{}
+type discardOutgoing struct{}
 
-func (nowhere) Send(ExchangeID, EndpointID, Millis) {}
-func (nowhere) Cancel(ExchangeID, LegNo)            {}
-func (nowhere) Shed(ExchangeID, Reason, Millis)     {}
-func (nowhere) Fail(ExchangeID, Reason)             {}
-func (nowhere) SetTimer(Millis, TimerID)            {}
-func (nowhere) NotifyPeer(PeerID, []byte)           {}
-func (nowhere) Watch()                              {}
-func (nowhere) Probe(EndpointID)                    {}
-func (nowhere) Note(string)                         {}
+func (discardOutgoing) Send(ExchangeID, EndpointID, Millis) {}
+func (discardOutgoing) Cancel(ExchangeID, LegNo)            {}
+func (discardOutgoing) Shed(ExchangeID, Reason, Millis)     {}
+func (discardOutgoing) Fail(ExchangeID, Reason)             {}
+func (discardOutgoing) SetTimer(Millis, TimerID)            {}
+func (discardOutgoing) NotifyPeer(PeerID, []byte)           {}
+func (discardOutgoing) Watch()                              {}
+func (discardOutgoing) Probe(EndpointID)                    {}
+func (discardOutgoing) Note(string)                         {}
 
 // A product that fails at all endpoints alike must not shut them, one after the other, for the products that don't.
-func TestProductThatFailsEverywhere(t *testing.T) {
-	b, r := begin("abcd")
+func TestProductFailingEverywhereEjectsNoEndpoint(t *testing.T) {
+	b, r := newTestBalancer("abcd")
 	for _, e := range b.endpoints {
 		e.successes = 100
 	}
@@ -764,15 +764,15 @@
 			b.LegEnded(x, 0, Reset, 5, false)
 			continue
 		}
-		assert.NotEmpty(t, arrive(b, r, x, farReaching), "%s finds room", x)
+		assert.NotEmpty(t, arrive(b, r, x, globalReferenced), "%s finds room", x)
 		b.LegEnded(x, 0, Succeeded, 5, true)
 		if n%15 == 1 {
-			beats(b, 1)
+			runUpkeep(b, 1)
 		}
 		assert.False(t, slices.ContainsFunc(b.ready, func(e *endpoint) bool { return e.suspect }), "after %d", n)
 	}
 	assert.Greater(t, b.products[singleUse].failingShare, 0.9)
-	assert.Less(t, b.products[farReaching].failingShare, 0.1)
+	assert.Less(t, b.products[globalReferenced].failingShare, 0.1)
 	b.LegEnded("x", 0, Reset, 5, false)
 	b.products[replayable].failingShare = 0.95
 	arrive(b, r, "last", replayable)
@@ -781,10 +781,10 @@
 }
 
 // A further leg goes elsewhere: who turned an exchange away at once has no legs out, and would be taken again.
-func TestFurtherLegGoesElsewhere(t *testing.T) {
+func TestFurtherLegGoesToAnotherEndpoint(t *testing.T) {
 	same := 0
 	for n := range 100 {
-		b, r := begin("abc")
+		b, r := newTestBalancer("abc")
 		for range n {
 			b.random()
 		}
@@ -798,8 +798,8 @@
 }
 
 // What has left the list for good is let go once no leg is out; ids are ever new.
-func TestLetGo(t *testing.T) {
-	b, r := begin("ab")
+func TestGoneEndpointsAreRemovedAfterTheirLastLeg(t *testing.T) {
+	b, r := newTestBalancer("ab")
 	to := arrive(b, r, "x", replayable)
 	for _, id := range []EndpointID{"a", "b"} {
 		b.Listed(id, Gone, 0, 0, 0, 1, 0)
@@ -822,10 +822,10 @@
 
 // An endpoint may hang on one product and serve the others well: it rests for that product alone, tried again by one leg at
 // a time, and not when nobody else serves it either.
-func TestRestsForOneProduct(t *testing.T) {
-	b, r := begin("ab")
+func TestEndpointBacksOffPerProduct(t *testing.T) {
+	b, r := newTestBalancer("ab")
 	ids := 0
-	spread := func(p ProductID, o Outcome) map[EndpointID]int {
+	serve40 := func(p ProductID, o Outcome) map[EndpointID]int {
 		got := map[EndpointID]int{}
 		for range 40 {
 			ids++
@@ -840,38 +840,38 @@
 		}
 		return got
 	}
-	assert.NotZero(t, spread(farReaching, Succeeded)["a"])
-	b.byID["a"].backoffs[farReaching] = backoff{failures: 1}
-	arrive(b, r, "lost", farReaching)
+	assert.NotZero(t, serve40(globalReferenced, Succeeded)["a"])
+	b.byID["a"].backoffs[globalReferenced] = backoff{failures: 1}
+	arrive(b, r, "lost", globalReferenced)
 	for b.exchanges["lost"].legs[0].to.id != "a" {
 		b.ClientLeft("lost")
 		b.LegEnded("lost", 0, Cancelled, 0, true)
-		arrive(b, r, "lost", farReaching)
+		arrive(b, r, "lost", globalReferenced)
 	}
 	b.SetNow(b.now + 950)
 	b.TimerFired(0)                             // it is silent for too long,
 	b.LegEnded("lost", 0, Cancelled, 950, true) // and a copy elsewhere came first
 	b.byID["a"].suspect = false
-	assert.Zero(t, spread(farReaching, Succeeded)["a"], "at rest")
+	assert.Zero(t, serve40(globalReferenced, Succeeded)["a"], "at rest")
 	b.byID["a"].lostAt = 0
 	b.updateSelection()
-	assert.NotZero(t, spread(singleUse, Succeeded)["a"], "not for the others")
-	b.byID["b"].backoffs[farReaching] = backoff{failures: 2, retryAt: b.now + 1000}
-	assert.False(t, b.backsOff(&exchange{product: &b.products[farReaching]}, b.byID["a"]), "nobody else serves it")
-	b.byID["b"].backoffs[farReaching] = backoff{}
-	b.byID["a"].backoffs[farReaching] = backoff{failures: 2, retryAt: b.now}
-	tries := 0
+	assert.NotZero(t, serve40(singleUse, Succeeded)["a"], "not for the others")
+	b.byID["b"].backoffs[globalReferenced] = backoff{failures: 2, retryAt: b.now + 1000}
+	assert.False(t, b.backsOff(&exchange{product: &b.products[globalReferenced]}, b.byID["a"]), "nobody else serves it")
+	b.byID["b"].backoffs[globalReferenced] = backoff{}
+	b.byID["a"].backoffs[globalReferenced] = backoff{failures: 2, retryAt: b.now}
+	trials := 0
 	for n := range 40 {
-		if arrive(b, r, ExchangeID(fmt.Sprint("t", n)), farReaching) == "a" {
-			tries++
+		if arrive(b, r, ExchangeID(fmt.Sprint("t", n)), globalReferenced) == "a" {
+			trials++
 		}
 	}
-	assert.LessOrEqual(t, tries, 1, "one leg tries, the others wait for what becomes of it")
+	assert.LessOrEqual(t, trials, 1, "one leg tries, the others wait for what becomes of it")
 }
 
 // A fleet with unequal servers and work of wide spread took one leg in six for lost and dismissed half of all exchanges
 // with its endpoints idle, though late answers kept part of their value.
-func TestLostByTheWorthOfALateAnswer(t *testing.T) {
+func TestLossThresholdFollowsOverdueValue(t *testing.T) {
 	for _, c := range []struct {
 		overdue float64
 		took    Millis
@@ -879,7 +879,7 @@
 	}{
 		{0, 500, false}, {0, 600, true}, {0.25, 600, false}, {0.25, 850, false}, {0.25, 950, true}, {0.5, 850, false}, {1, 950, true},
 	} {
-		b, r := begin("ab")
+		b, r := newTestBalancer("ab")
 		p := &b.products[replayable]
 		p.OverdueShare, p.Abandon, p.bestLatency = c.overdue, 4000, 300
 		b.Arrive("x", replayable, -1, 0, b.now+4000, 0, false)
@@ -891,15 +891,15 @@
 
 // Six in ten endpoints were replaced, and the new ones stood idle with all their tokens while the few familiar ones that
 // were left were overloaded: what is cold is strange too, and was drawn for one leg in a thousand.
-func TestColdOnesAreDrawnThoughStrange(t *testing.T) {
-	b, r := begin("abcdefghij")
+func TestUnprovenColdEndpointsAreDrawn(t *testing.T) {
+	b, r := newTestBalancer("abcdefghij")
 	b.SetNow(1e6)
 	serve(b, r, 40, 100)
 	for _, id := range "klmn" {
 		b.Listed(EndpointID(id), Running, 0, 0, 9, 1, b.now)
 	}
 	b.ListEnds(false)
-	cold, strange := 0, 0
+	cold, unproven := 0, 0
 	for range 400 {
 		for _, e := range b.endpoints {
 			switch e.coldTokens = 2; {
@@ -912,41 +912,41 @@
 			}
 		}
 		b.unprovenFactor = 0.001
-		x := ExchangeID(fmt.Sprint("c", cold+strange, b.latencyCount))
+		x := ExchangeID(fmt.Sprint("c", cold+unproven, b.latencyCount))
 		switch to := arrive(b, r, x, replayable); {
 		case to >= "k":
 			cold++
 		case to >= "e":
-			strange++
+			unproven++
 		}
 		b.LegEnded(x, 0, Succeeded, 100, true)
 	}
 	assert.True(t, cold > 20 && cold < 100, "by their share of capacity: %d", cold)
-	assert.Less(t, strange, 10)
+	assert.Less(t, unproven, 10)
 }
 
 // Hundreds of light sidecars each kept to whoever had answered them lately: sets by accident, a few endpoints in many of
 // them and a few in none, and the fleet spread worse than chance. Places of their own add up; a bad one is left at once, and
 // in trouble only who answered lately counts.
-func TestPlacesOfTheirOwnAddUp(t *testing.T) {
-	const fleet, list, places = 300, 100, 4
-	held := map[EndpointID]int{}
+func TestHomeSubsetsCoverEndpointsEvenly(t *testing.T) {
+	const fleet, endpoints, subsetSize = 300, 100, 4
+	sidecarsByEndpoint := map[EndpointID]int{}
 	for me := range PeerID(fleet) {
-		r := &record{}
+		r := &recorder{}
 		b := New(Terms{Seed: uint64(me), Fleet: fleet, SidecarNumber: me, Products: []Product{{Expected: 400, Abandon: 1500, Value: 1}}, MaxLegs: 3}, r, 1e6)
 		b.ListStarts()
-		for n := range list {
+		for n := range endpoints {
 			b.Listed(EndpointID(fmt.Sprint("e", n)), Running, ZoneID(n%3), 0, 0, 1, 0)
 		}
 		b.ListEnds(true)
-		mine := []*endpoint{}
+		subset := []*endpoint{}
 		for _, e := range b.ready {
 			if e.home {
-				held[e.id]++
-				mine = append(mine, e)
+				sidecarsByEndpoint[e.id]++
+				subset = append(subset, e)
 			}
 		}
-		assert.Len(t, mine, places)
+		assert.Len(t, subset, subsetSize)
 		if me > 0 {
 			continue
 		}
@@ -954,41 +954,41 @@
 		b.Listed("one more", Running, 0, 0, 0, 1, 0)
 		b.ListEnds(false)
 		kept := 0
-		for _, e := range mine {
+		for _, e := range subset {
 			if e.home {
 				kept++
 			}
 		}
-		assert.GreaterOrEqual(t, kept, places-1)
+		assert.GreaterOrEqual(t, kept, subsetSize-1)
 		// A bad one is left at once; the next good one on the ring takes its place.
-		bad := mine[0]
-		bad.lostAt, bad.inTimeAt = b.now, b.now-1
+		failed := subset[0]
+		failed.lostAt, failed.inTimeAt = b.now, b.now-1
 		b.updateSelection()
-		assert.False(t, bad.home)
-		assert.Equal(t, 1.0, b.unprovenOdds(mine[1]), "as if known")
+		assert.False(t, failed.home)
+		assert.Equal(t, 1.0, b.unprovenOdds(subset[1]), "as if known")
 		b.unprovenFactor = 0.1
-		assert.Less(t, b.unprovenOdds(bad), 0.01)
+		assert.Less(t, b.unprovenOdds(failed), 0.01)
 		b.lossShare = 0.1
 		b.updateSelection()
 		b.unprovenFactor = 0.1
-		assert.Equal(t, 0.1, b.unprovenOdds(mine[1]), "in trouble it counts as strange")
+		assert.Equal(t, 0.1, b.unprovenOdds(subset[1]), "in trouble it counts as strange")
 	}
 	least, most := fleet, 0
-	for n := range list {
-		least, most = min(least, held[EndpointID(fmt.Sprint("e", n))]), max(most, held[EndpointID(fmt.Sprint("e", n))])
+	for n := range endpoints {
+		least, most = min(least, sidecarsByEndpoint[EndpointID(fmt.Sprint("e", n))]), max(most, sidecarsByEndpoint[EndpointID(fmt.Sprint("e", n))])
 	}
-	assert.GreaterOrEqual(t, least, fleet*places/list-3, "nobody is unknown to all")
-	assert.LessOrEqual(t, most, fleet*places/list+3)
-	unnumbered := map[float64]bool{}
+	assert.GreaterOrEqual(t, least, fleet*subsetSize/endpoints-3, "nobody is unknown to all")
+	assert.LessOrEqual(t, most, fleet*subsetSize/endpoints+3)
+	positions := map[float64]bool{}
 	for seed := range uint64(10) {
-		unnumbered[New(Terms{Seed: seed, SidecarNumber: -1, Products: []Product{{Expected: 400}}}, &record{}, 0).subsetStart] = true
+		positions[New(Terms{Seed: seed, SidecarNumber: -1, Products: []Product{{Expected: 400}}}, &recorder{}, 0).subsetStart] = true
 	}
-	assert.Len(t, unnumbered, 10, "who is told no number is not where all others are")
+	assert.Len(t, positions, 10, "who is told no number is not where all others are")
 }
 
 // Restarted together, 56 of 80 sidecars asked for the list at once and again each two seconds. Discovery takes calls in
 // turn and drops those that waited too long, so most were never served and sent legs to endpoints long gone.
-func TestCallsForTheListInALargeFleet(t *testing.T) {
+func TestListCallsSpreadInALargeFleet(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		fleet       int
@@ -998,18 +998,18 @@
 	}{
 		{"small", 4, true, 40, 500, 2500}, {"large", 80, true, 0, 1925, 9625}, {"large, but knows nobody", 80, false, 40, 1925, 9625},
 	} {
-		atOnce, at := 0, map[string]bool{}
+		atOnce, wakes := 0, map[string]bool{}
 		for seed := range uint64(40) {
-			r := &record{}
+			r := &recorder{}
 			b := New(Terms{Seed: seed, Fleet: c.fleet, PullList: true, HasList: c.knows, AskWithin: 10000}, r, 1000)
 			for _, w := range r.lines {
 				if w == "watch" {
 					atOnce++
 				} else if strings.HasPrefix(w, "wake 1 ") {
-					at[w] = true
+					wakes[w] = true
 				}
 			}
-			near(t, float64(c.first), float64(b.listBackoff))
+			assertClose(t, float64(c.first), float64(b.listBackoff))
 			for range 9 {
 				b.ListFailed()
 			}
@@ -1017,19 +1017,19 @@
 			assert.Less(t, 1.5*b.listBackoff, Millis(4*10000), "a failed call allows four times ask-within")
 		}
 		assert.Equal(t, c.atOnce, atOnce, c.name)
-		assert.Len(t, at, 40-c.atOnce, "%s: spread", c.name)
+		assert.Len(t, wakes, 40-c.atOnce, "%s: spread", c.name)
 	}
 }
 
 // A heavy sidecar of a large fleet dismissed a third of its exchanges in its first seconds for want of room, with nearly
 // all endpoints idle and nothing late.
-func TestRoomWhereNothingIsLost(t *testing.T) {
+func TestLegLimitWidensWhileNothingIsLost(t *testing.T) {
 	for _, c := range []struct {
-		lost, long float64
-		legs       int
+		lost, longTerm float64
+		legs           int
 	}{{0, 0, 15}, {0.05, 0.05, 10}, {0.3, 0.1, 4}} {
-		b, r := begin("abcdefghijklmnopqrstuvwxyz0123")
-		b.minLimit, b.lossShare, b.lossShareLong = 0.1, c.lost, c.long
+		b, r := newTestBalancer("abcdefghijklmnopqrstuvwxyz0123")
+		b.minLimit, b.lossShare, b.lossShareLong = 0.1, c.lost, c.longTerm
 		for _, e := range b.endpoints {
 			e.limit = b.minLimit
 		}
@@ -1042,20 +1042,20 @@
 }
 
 // What staff say stands whatever the list says, and who comes back is a new process: cold, unknown, and used at once.
-func TestOutByHandAndBack(t *testing.T) {
-	b, r := begin("ab")
+func TestOperatorDrainAndUndrain(t *testing.T) {
+	b, r := newTestBalancer("ab")
 	serve(b, r, 40, 50)
 	b.Drain("a")
 	b.Drain("a")
 	assert.Equal(t, 1, b.AvoidedEndpoints())
-	lists := map[string]func(){
+	updates := map[string]func(){
 		"entry":      func() { b.Listed("a", Running, 0, 0, 0, 1, 0) },
 		"restarted":  func() { b.Listed("a", Running, 0, 0, 0, 1, b.now) },
 		"whole list": func() { b.ListStarts(); b.Listed("b", Running, 0, 0, 0, 1, 0) },
 		"back in it": func() { b.Listed("a", Running, 0, 0, 0, 1, 0) },
 	}
 	for _, name := range []string{"entry", "restarted", "whole list", "back in it"} {
-		lists[name]()
+		updates[name]()
 		b.ListEnds(false)
 		for n := range 20 {
 			x := ExchangeID(fmt.Sprint(name, n))
@@ -1066,14 +1066,14 @@
 	b.byID["a"].suspect, b.byID["a"].failures = true, 9
 	b.Undrain("a")
 	assert.False(t, b.byID["a"].suspect)
-	for _, older := range []Millis{0, b.now - 5} {
-		b.Listed("a", Running, 0, 0, 0, 1, older)
+	for _, oldStart := range []Millis{0, b.now - 5} {
+		b.Listed("a", Running, 0, 0, 0, 1, oldStart)
 		b.ListEnds(false)
 		assert.True(t, b.isCold(b.byID["a"]), "an older start in the list does not warm it")
 	}
-	used := func() (n int) {
+	legsToA := func() (n int) {
 		for range 2 * int(b.fallWindow/b.upkeepInterval) * int(firstLegFallWindows) {
-			beats(b, 1)
+			runUpkeep(b, 1)
 			x := ExchangeID(fmt.Sprint(b.now))
 			if arrive(b, r, x, replayable) == "a" {
 				n++
@@ -1082,7 +1082,7 @@
 		}
 		return n
 	}
-	assert.NotZero(t, used(), "well within 5 s, though this sidecar sends one exchange in a beat")
+	assert.NotZero(t, legsToA(), "well within 5 s, though this sidecar sends one exchange in a beat")
 	b.Undrain("a")
 	b.Undrain("never out")
 	assert.Zero(t, b.AvoidedEndpoints())
@@ -1095,15 +1095,15 @@
 
 // One command puts an endpoint back at all consoles, and each sidecar's first leg goes there: their sum must not push it over.
 // An endpoint of two slots is taken, of which the settings allow n legs in the time of a fall when it has just started.
-func TestBackAtAllConsoles(t *testing.T) {
+func TestUndrainAtAllConsolesStaysWithinColdBudget(t *testing.T) {
 	for _, fleet := range []int{1, 5, 20, 30, 80, 350, 1024} {
-		type one struct {
+		type sidecar struct {
 			*Balancer
-			*record
+			*recorder
 		}
-		all, out, dice := []one{}, map[ExchangeID]*Balancer{}, uint64(fleet)
+		sidecars, inFlight, rng := []sidecar{}, map[ExchangeID]*Balancer{}, uint64(fleet)
 		for n := range fleet {
-			b, r := begin("abcdefghij")
+			b, r := newTestBalancer("abcdefghij")
 			b.rng ^= uint64(n+1) * 0x9e3779b97f4a7c15
 			b.fleet, b.minLimit, b.typicalLatency = float64(fleet), math.Min(fleetMinLimit/float64(fleet), 1), 50
 			for p := range b.products {
@@ -1112,35 +1112,35 @@
 			b.Drain("a")
 			b.SetNow(b.now + 1)
 			b.Undrain("a")
-			all = append(all, one{b, r})
-		}
-		b := all[0].Balancer
-		began, at := b.now, []Millis{}
-		for b.now < began+5*b.fallWindow {
-			for _, o := range all {
-				o.SetNow(o.now + o.upkeepInterval)
-				o.TimerFired(0)
-				o.take()
+			sidecars = append(sidecars, sidecar{b, r})
+		}
+		b := sidecars[0].Balancer
+		start, legTimes := b.now, []Millis{}
+		for b.now < start+5*b.fallWindow {
+			for _, s := range sidecars {
+				s.SetNow(s.now + s.upkeepInterval)
+				s.TimerFired(0)
+				s.take()
 			}
 			for n := range 40 { // half of what ten endpoints of two slots can do
-				dice = dice*6364136223846793005 + 1442695040888963407
-				o, x := all[int(dice>>33)%fleet], ExchangeID(fmt.Sprint(n, b.now))
-				o.Arrive(x, replayable, -1, 0, o.now+4000, 0, false)
-				if sentTo(o.record) == "a" {
-					at = append(at, o.now)
+				rng = rng*6364136223846793005 + 1442695040888963407
+				s, x := sidecars[int(rng>>33)%fleet], ExchangeID(fmt.Sprint(n, b.now))
+				s.Arrive(x, replayable, -1, 0, s.now+4000, 0, false)
+				if sentTo(s.recorder) == "a" {
+					legTimes = append(legTimes, s.now)
 				}
-				out[x] = o.Balancer
+				inFlight[x] = s.Balancer
 			}
-			for x, b := range out {
+			for x, b := range inFlight {
 				b.LegEnded(x, 0, Succeeded, 50, true)
-				delete(out, x)
+				delete(inFlight, x)
 			}
 		}
 		allowed := 3 * 0.1 * 2 * float64(b.fallWindow) / 50
 		allowed += allowed * 9 * float64(5*b.fallWindow/b.coldPeriod) / 2 // it warms up meanwhile: half of that on the mean
 		most, from := 0, 0
-		for to := range at {
-			for at[from] <= at[to]-b.fallWindow {
+		for to := range legTimes {
+			for legTimes[from] <= legTimes[to]-b.fallWindow {
 				from++
 			}
 			most = max(most, to-from+1)
@@ -1151,8 +1151,8 @@
 }
 
 // An endpoint out by hand gets neither the copy, nor the further leg, nor what waits for room.
-func TestNothingMoreWhileOut(t *testing.T) {
-	b, r := begin("ab")
+func TestOperatorDrainStopsHedgesRetriesAndQueuedLegs(t *testing.T) {
+	b, r := newTestBalancer("ab")
 	serve(b, r, 40, 50)
 	to := arrive(b, r, "x", replayable)
 	other := map[EndpointID]EndpointID{"a": "b", "b": "a"}[to]
@@ -1168,19 +1168,19 @@
 }
 
 // A leg in transfer is no work for its endpoint: neither a slow client nor a long answer may look like an overload.
-func TestTransfersTakeNoRoom(t *testing.T) {
-	b, r := begin("ab")
+func TestTransfersAreNotCountedAsLegsInFlight(t *testing.T) {
+	b, r := newTestBalancer("ab")
 	serve(b, r, 40, 50)
 	r.take()
 	b.Arrive("up", replayable, -1, 0, b.now+4000, 0, true)
 	to := sentTo(r)
 	assert.Zero(t, b.legsInFlight+b.byID[to].legs)
-	lost, long := b.lossShare, b.lossShareLong
+	lost, longTerm := b.lossShare, b.lossShareLong
 	for range 60 {
-		beats(b, 1)
+		runUpkeep(b, 1)
 	}
 	assert.LessOrEqual(t, b.lossShare, lost, "a request that is still coming is not late")
-	assert.LessOrEqual(t, b.lossShareLong, long)
+	assert.LessOrEqual(t, b.lossShareLong, longTerm)
 	b.TimerFired(TimerID(b.exchanges["up"].slot)<<40 | TimerID(b.exchanges["up"].generation)<<8 | TimerID(hedgeDue)<<4 | 2)
 	assert.Empty(t, sentTo(r), "and gets no copy")
 	b.BodyComplete("up", b.now+4000)
@@ -1192,18 +1192,18 @@
 	b.StreamBegan("up", 0)
 	assert.Zero(t, b.legsInFlight+b.byID[to].legs)
 	assert.Equal(t, answers+1, b.products[0].answers, "its first byte tells how fast the endpoint is")
-	bad := b.byID[to].failures
+	failures := b.byID[to].failures
 	b.SetNow(b.now + 9000)
 	b.LegEnded("up", 0, Reset, 60, true)
-	assert.Greater(t, b.byID[to].failures, bad, "one that breaks off counts against it")
+	assert.Greater(t, b.byID[to].failures, failures, "one that breaks off counts against it")
 	assert.Empty(t, b.exchanges)
 	assert.Zero(t, b.legsInFlight+b.byID[to].legs)
 }
 
 // What can't be sent again gets no further leg, though it never ran; what still can gets one.
-func TestLongRequestsAreSentOnce(t *testing.T) {
+func TestSpentRequestGetsNoFurtherLeg(t *testing.T) {
 	for _, spent := range []bool{false, true} {
-		b, r := begin("ab")
+		b, r := newTestBalancer("ab")
 		r.take()
 		b.Arrive("x", singleUse, -1, 0, b.now+4000, 0, true)
 		if sentTo(r); spent {
@@ -1222,8 +1222,8 @@
 
 // Guards against the budget of legs broken on all days of a deployment that states one: copies and other tries were
 // each bounded by a ratio of their own, over windows of their own.
-func TestRationOfFurtherLegs(t *testing.T) {
-	r := legBudget{free: 1, ratio: 0.5, window: 1000}
+func TestFurtherLegBudgetWindow(t *testing.T) {
+	budget := legBudget{free: 1, ratio: 0.5, window: 1000}
 	for _, c := range []struct {
 		at    Millis
 		taken float64
@@ -1231,20 +1231,20 @@
 	}{
 		{100, 4, 3}, {200, 2, 1}, {1100, 0, 0}, {1101, 0, 1}, {1200, 0, 0}, {5000, 0, 1}, {5000, 2, 1}, {90000, 2, 2},
 	} {
-		went := 0
-		for r.exchanges.add(c.at, c.taken); r.allows(c.at); went++ {
-			r.furtherLegs.add(c.at, 1)
+		sent := 0
+		for budget.exchanges.add(c.at, c.taken); budget.allows(c.at); sent++ {
+			budget.furtherLegs.add(c.at, 1)
 		}
-		assert.Equal(t, c.want, went, "%v", c)
+		assert.Equal(t, c.want, sent, "%v", c)
 	}
-	r.furtherLegs.add(90000, -1) // one that was never sent
-	assert.True(t, r.allows(90000))
-	assert.LessOrEqual(t, len(r.exchanges.times)+len(r.furtherLegs.times), 2, "what has left the window is forgotten")
+	budget.furtherLegs.add(90000, -1) // one that was never sent
+	assert.True(t, budget.allows(90000))
+	assert.LessOrEqual(t, len(budget.exchanges.times)+len(budget.furtherLegs.times), 2, "what has left the window is forgotten")
 	assert.True(t, (&legBudget{}).allows(0), "not stated, not bounded")
 }
 
-func TestRationHoldsAtTheGate(t *testing.T) {
-	b, r := begin("abcdef")
+func TestFurtherLegBudgetIsEnforced(t *testing.T) {
+	b, r := newTestBalancer("abcdef")
 	b.legBudget, b.retryTokens = legBudget{free: 2, window: 5000}, 100
 	further := 0
 	for n := range 10 {
@@ -1259,52 +1259,52 @@
 }
 
 // Guards against the hottest of the keys that crowded their two endpoints: one in eight exchanges was about it.
-func TestHotKeysGetEndpointsByTheirShare(t *testing.T) {
+func TestHotKeysGetEndpointsByTrafficShare(t *testing.T) {
 	for share, want := range map[float64]int{0.001: 1, 0.2: 3, 0.5: 7} {
-		b, r := begin("abcdefgh")
+		b, r := newTestBalancer("abcdefgh")
 		b.warmKeys, b.keyTrafficTotal = true, 1e6
 		b.keyTraffic[77] = share * 1e6
-		got := map[EndpointID]bool{}
+		used := map[EndpointID]bool{}
 		for n := range 200 {
-			got[about(b, r, n, 77, 10)] = true
+			used[serveWithKey(b, r, n, 77, 10)] = true
 		}
-		assert.Len(t, got, want)
+		assert.Len(t, used, want)
 	}
 }
 
 // asking starts an instance that has found reports fresh, and hands in one exchange.
-func asking() (*Balancer, *record, []string) {
-	b, r := begin("abcdefgh")
+func newProbingBalancer() (*Balancer, *recorder, []string) {
+	b, r := newTestBalancer("abcdefgh")
 	b.canProbe, b.maxProbes, b.reportTests, b.freshShare = true, 3, reportAgeTests, 1
 	r.take()
 	b.Arrive("x", replayable, -1, 0, b.now+4000, 0, false)
-	few := r.take("probe")
-	for n := range few {
-		few[n] = strings.TrimPrefix(few[n], "probe ")
+	probed := r.take("probe")
+	for n := range probed {
+		probed[n] = strings.TrimPrefix(probed[n], "probe ")
 	}
-	return b, r, few
+	return b, r, probed
 }
 
 // Guards against light sidecars that choose blindly: with less than an exchange a second each, none knows the others'.
-func TestAskedEndpointsAreTakenByWhatTheySay(t *testing.T) {
-	b, r, few := asking()
-	assert.Len(t, few, 3)
-	for n, id := range few {
+func TestProbedEndpointsAreChosenByReportedLoad(t *testing.T) {
+	b, r, probed := newProbingBalancer()
+	assert.Len(t, probed, 3)
+	for n, id := range probed {
 		assert.Empty(t, sentTo(r))
 		b.Probed(EndpointID(id), true, Load{Held: float64(3 - n)})
 	}
-	assert.Equal(t, EndpointID(few[2]), sentTo(r), "it holds the least")
+	assert.Equal(t, EndpointID(probed[2]), sentTo(r), "it holds the least")
 
-	b, r, few = asking() // two stand still
-	b.Probed(EndpointID(few[1]), true, Load{Held: 9})
+	b, r, probed = newProbingBalancer() // two stand still
+	b.Probed(EndpointID(probed[1]), true, Load{Held: 9})
 	b.TimerFired(TimerID(b.exchanges["x"].generation)<<8 | TimerID(waitExpired)<<4 | 2)
-	assert.Equal(t, EndpointID(few[1]), sentTo(r), "it answers at least")
+	assert.Equal(t, EndpointID(probed[1]), sentTo(r), "it answers at least")
 
-	b, r, few = asking() // all do
+	b, r, probed = newProbingBalancer() // all do
 	b.TimerFired(TimerID(b.exchanges["x"].generation)<<8 | TimerID(waitExpired)<<4 | 2)
-	assert.Contains(t, few, string(sentTo(r)), "or dismissed, but never kept")
+	assert.Contains(t, probed, string(sentTo(r)), "or dismissed, but never kept")
 
-	b, r, _ = asking()
+	b, r, _ = newProbingBalancer()
 	b.ClientLeft("x")
 	assert.Empty(t, b.awaitingReports)
 	assert.Empty(t, b.exchanges)
@@ -1312,16 +1312,16 @@
 
 // Guards against a fleet of 1,400 that pushed 14 cold endpoints over: being idle they won whenever they were asked, and a
 // light product's exchange went for less than a whole token, which a fifth of all sidecars had at once.
-func TestColdEndpointsAreNoIdleOnes(t *testing.T) {
-	b, r, few := asking()
-	cold := b.byID[EndpointID(few[0])]
+func TestColdEndpointsAreNotTreatedAsIdle(t *testing.T) {
+	b, r, probed := newProbingBalancer()
+	cold := b.byID[EndpointID(probed[0])]
 	cold.readyAt, cold.coldTokens = b.now, 1
-	for n, id := range few {
+	for n, id := range probed {
 		b.Probed(EndpointID(id), true, Load{Held: float64(2 * n)})
 	}
-	assert.Equal(t, EndpointID(few[1]), sentTo(r), "it can do a tenth of the others' work")
+	assert.Equal(t, EndpointID(probed[1]), sentTo(r), "it can do a tenth of the others' work")
 
-	b, _ = begin("ab")
+	b, _ = newTestBalancer("ab")
 	e, x := b.byID["a"], &exchange{product: &b.products[replayable], deadline: b.now + 1000}
 	x.product.typicalLatency = 0.8 * b.typicalLatency
 	e.readyAt = b.now
@@ -1332,9 +1332,9 @@
 }
 
 // Guards against reports that are a second old, by which all who ask meet at the same endpoints.
-func TestOldReportsAreNotAskedFor(t *testing.T) {
+func TestStaleLoadReportsDisableProbing(t *testing.T) {
 	for _, changes := range []bool{false, true} {
-		b, r := begin("abcdefgh")
+		b, r := newTestBalancer("abcdefgh")
 		arrive(b, r, "x", singleUse) // what is idle has nothing new to tell
 		b.canProbe, b.maxProbes = true, 2
 		load := Load{}
@@ -1353,63 +1353,63 @@
 }
 
 // Guards against exchanges given up because their sidecar's clock ran ahead: told 800 ms less than they had.
-func TestTimeLeftIsWhatAProductUsuallyHas(t *testing.T) {
-	for _, c := range []struct{ off, told, want Millis }{
+func TestTimeLeftToleratesClockOffset(t *testing.T) {
+	for _, c := range []struct{ clockOffset, stated, want Millis }{
 		{0, -100, -100}, {800, 4000, 4000}, {800, 3300, 4000}, {800, 2000, 2800}, {800, -100, 700}, {800, 4500, 4500},
 	} {
-		b, _ := begin("ab")
-		b.deadlineSkew, b.products[0].typicalTimeLeft = c.off, 4000
+		b, _ := newTestBalancer("ab")
+		b.deadlineSkew, b.products[0].typicalTimeLeft = c.clockOffset, 4000
 		x := b.acquireSlot()
 		x.product = &b.products[0]
-		b.setDeadline(x, b.now+c.told)
+		b.setDeadline(x, b.now+c.stated)
 		assert.InDelta(t, float64(c.want), float64(x.deadline-b.now), 30, "%v", c)
-		assert.LessOrEqual(t, x.deadline-b.now, max(c.told+c.off, 4000))
+		assert.LessOrEqual(t, x.deadline-b.now, max(c.stated+c.clockOffset, 4000))
 	}
 }
 
 // Guards against keys that wait for something of their own (a lock, clients that read slowly) and brought down the
 // endpoints they were met at, and the shares by which all others are let in.
-func TestStuckKeysBlameNoEndpoint(t *testing.T) {
-	b, r := begin("abcdefgh")
+func TestBlockedKeysBlameNoEndpoint(t *testing.T) {
+	b, r := newTestBalancer("abcdefgh")
 	b.warmKeys = true
-	dismissed := 0
+	shedCount := 0
 	for n := range 400 {
 		key, took := KeyID(n%40+1), Millis(20)
 		if n%4 == 0 {
 			key, took = 200, 3000
 		}
-		if about(b, r, n, key, took) == "" {
-			dismissed++
+		if serveWithKey(b, r, n, key, took) == "" {
+			shedCount++
 		}
 		if b.SetNow(b.now + 20); n%10 == 0 {
-			beats(b, 1)
+			runUpkeep(b, 1)
 		}
 	}
-	assert.InDelta(t, 90, dismissed, 9, "of a hundred; now and then one is tried")
+	assert.InDelta(t, 90, shedCount, 9, "of a hundred; now and then one is tried")
 	assert.Less(t, b.lossShare, 0.1)
 	assert.False(t, slices.ContainsFunc(b.endpoints, func(e *endpoint) bool { return e.suspect }))
 }
 
 // Guards against answers that fill all buffers while their clients read: nothing else got through.
-func TestOldestIsGivenUpWhenAllBuffersAreTaken(t *testing.T) {
-	b, r := begin("abcdefgh")
+func TestOldestExchangeIsGivenUpWhenBuffersAreFull(t *testing.T) {
+	b, r := newTestBalancer("abcdefgh")
 	b.answerBuffers = 2
 	for n := range 3 {
 		b.Arrive(ExchangeID(fmt.Sprint(n)), replayable, -1, KeyID(n+1), b.now+40000, 0, false)
 		b.SetNow(b.now + 1)
 	}
 	r.take()
-	beats(b, 8)
+	runUpkeep(b, 8)
 	assert.Equal(t, []string{"dismiss 0"}, r.take("dismiss", "forfeit")[:1])
 }
 
 // Guards against an exchange that was given up for its buffer while it stood in the queue for another leg: its place was
 // free, and a leg left for nobody (deploy+slow_link, 62 sidecars).
 func TestQueuedExchangeHoldsNoBuffer(t *testing.T) {
-	b, _ := begin("abcdefgh")
+	b, _ := newTestBalancer("abcdefgh")
 	b.answerBuffers = 2
 	b.Arrive("x", replayable, -1, 5, b.now+40000, 0, false)
-	beats(b, 8)
+	runUpkeep(b, 8)
 	x := b.exchanges["x"]
 	assert.True(t, x.overdue)
 	b.LegEnded("x", 0, NoConnection, 10, false)
@@ -1419,58 +1419,58 @@
 }
 
 // Guards against small odds that came to nothing: with all endpoints failing, a key's draw had none to choose from.
-func TestKeysOfEndpointsThatAllFail(t *testing.T) {
-	b, r := begin("ab")
+func TestKeyedPickWithMinimalWeights(t *testing.T) {
+	b, r := newTestBalancer("ab")
 	b.warmKeys = true
 	for n := range 50 {
 		for _, e := range b.endpoints {
 			e.weight, e.size = minWeight, 0.001
 		}
-		assert.NotEmpty(t, about(b, r, n, KeyID(n+1), 10))
+		assert.NotEmpty(t, serveWithKey(b, r, n, KeyID(n+1), 10))
 	}
 }
 
 // Guards against warm keys that went wherever chance had it: a fleet that remembers them was asked for half as much
 // again as it can do.
-func TestKeysDrawTheSameEndpoints(t *testing.T) {
-	all := map[EndpointID]bool{}
+func TestKeyGoesToTheSameEndpointFromEverySidecar(t *testing.T) {
+	used := map[EndpointID]bool{}
 	for key := KeyID(1); key < 40; key++ {
-		one := map[EndpointID]bool{}
+		targets := map[EndpointID]bool{}
 		for n := range 40 {
-			b, r := begin("abcdefgh")
+			b, r := newTestBalancer("abcdefgh")
 			b.warmKeys, b.rng, b.keyTrafficTotal = true, uint64(n), 1e6 // one key of many, at another sidecar each time
-			one[about(b, r, n, key*0x9e3779b97f4a7c15, 10)] = true
+			targets[serveWithKey(b, r, n, key*0x9e3779b97f4a7c15, 10)] = true
 		}
-		assert.Len(t, one, 1, "an idle first endpoint keeps its key, at each sidecar")
-		for e := range one {
-			all[e] = true
+		assert.Len(t, targets, 1, "an idle first endpoint keeps its key, at each sidecar")
+		for e := range targets {
+			used[e] = true
 		}
 	}
-	assert.Greater(t, len(all), 4)
+	assert.Greater(t, len(used), 4)
 }
 
 // Guards against an overload that chance alone sheds: each key was let in now and then, and none stayed warm.
-func TestTheLotFallsAlikeForAKey(t *testing.T) {
-	one, _ := begin("ab")
-	two, _ := begin("ab")
-	one.warmKeys, two.warmKeys, two.rng = true, true, 99
-	x := &exchange{key: 7, product: &one.products[0]}
-	before := one.sheddingDraw(x)
-	assert.Equal(t, before, two.sheddingDraw(x))
-	one.SetNow(one.now + one.longestExpected*sheddingDrawSpans/4)
-	assert.NotEqual(t, before, one.sheddingDraw(x), "no key is shed for good")
+func TestSheddingDrawOfAKeyIsTheSameAtEverySidecar(t *testing.T) {
+	first, _ := newTestBalancer("ab")
+	second, _ := newTestBalancer("ab")
+	first.warmKeys, second.warmKeys, second.rng = true, true, 99
+	x := &exchange{key: 7, product: &first.products[0]}
+	before := first.sheddingDraw(x)
+	assert.Equal(t, before, second.sheddingDraw(x))
+	first.SetNow(first.now + first.longestExpected*sheddingDrawSpans/4)
+	assert.NotEqual(t, before, first.sheddingDraw(x), "no key is shed for good")
 	x.key = 0
-	assert.NotEqual(t, one.sheddingDraw(x), one.sheddingDraw(x), "no key, no lot but chance")
+	assert.NotEqual(t, first.sheddingDraw(x), first.sheddingDraw(x), "no key, no lot but chance")
 }
 
 // Guards against a zone that drowned beside an idle one: crossing is priced, so others were drawn once in 61 times
 // whatever became of the legs at home.
-func TestZonesAreDrawnByHowLegsFareThere(t *testing.T) {
-	away := func(home, there outcomeCounts) (n int) {
-		b, r := begin("ab")
+func TestZonesAreDrawnByShareOfLegsInTime(t *testing.T) {
+	legsToOtherZone := func(home, other outcomeCounts) (n int) {
+		b, r := newTestBalancer("ab")
 		b.Listed("b", Running, 1, 0, 1, 1, 0)
 		b.ListEnds(false)
-		b.crossZoneFactor, b.outcomesByZone[0], b.outcomesByZone[1] = 0.02, home, there
+		b.crossZoneFactor, b.outcomesByZone[0], b.outcomesByZone[1] = 0.02, home, other
 		for i := range 400 {
 			x := ExchangeID(fmt.Sprint(i))
 			if arrive(b, r, x, replayable) == "b" {
@@ -1480,16 +1480,16 @@
 		}
 		return n
 	}
-	well, poor := outcomeCounts{successes: 20}, outcomeCounts{successes: 8, failures: 12}
-	assert.Less(t, away(well, well), 40)
-	assert.Greater(t, away(poor, well), 120, "home is asked for more than it can do")
-	assert.Less(t, away(poor, poor), 40, "so is everyone")
-	assert.Less(t, away(well, poor), 10, "the way there is slow")
+	healthy, failing := outcomeCounts{successes: 20}, outcomeCounts{successes: 8, failures: 12}
+	assert.Less(t, legsToOtherZone(healthy, healthy), 40)
+	assert.Greater(t, legsToOtherZone(failing, healthy), 120, "home is asked for more than it can do")
+	assert.Less(t, legsToOtherZone(failing, failing), 40, "so is everyone")
+	assert.Less(t, legsToOtherZone(healthy, failing), 10, "the way there is slow")
 }
 
 // Guards against half a zone's exchanges dismissed while another stood idle: where those at home hold much, others are asked.
-func TestAskedElsewhereWhereHomeHoldsMuch(t *testing.T) {
-	b, r := begin("abcdefgh")
+func TestOtherZonesAreProbedWhenHomeIsLoaded(t *testing.T) {
+	b, r := newTestBalancer("abcdefgh")
 	for _, id := range []EndpointID{"e", "f", "g", "h"} {
 		b.Listed(id, Running, 1, 0, 2, 1, 0)
 	}
@@ -1498,13 +1498,13 @@
 	b.canProbe, b.maxProbes, b.reportTests, b.freshShare, b.crossZoneFactor = true, 2, reportAgeTests, 1, 0.001
 	r.take()
 	b.Arrive("x", replayable, -1, 0, b.now+4000, 0, false)
-	home := r.take("probe")
-	for _, l := range home {
+	homeProbes := r.take("probe")
+	for _, l := range homeProbes {
 		b.Probed(EndpointID(l[6:]), true, Load{Held: 500})
 	}
-	elsewhere := r.take("probe")
-	assert.Len(t, elsewhere, 2) // else nothing below is checked, and no text lacks ""
-	for _, l := range elsewhere {
+	otherProbes := r.take("probe")
+	assert.Len(t, otherProbes, 2) // else nothing below is checked, and no text lacks ""
+	for _, l := range otherProbes {
 		assert.Contains(t, "efgh", l[6:])
 		b.Probed(EndpointID(l[6:]), true, Load{Held: 1})
 	}
@@ -1514,41 +1514,41 @@
 // A leg over a way that takes longer than its product has is late however idle all are: it is not drawn, and not taken for a
 // sign of a queue. Products with more time are sent there as before, and where home has nothing left all are. Work varies, so
 // that single answers from there are as quick as some from home, and many from home as slow as any.
-func TestWaysTooLongForAProduct(t *testing.T) {
+func TestZonesTooFarForAProductAreAvoided(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		expected    Millis
-		way         float64 // ms to the other zone and back
+		roundTripMs float64 // ms to the other zone and back
 		homeGone    bool
 		least, most int // legs of 400 to the other zone, which has as many endpoints
 	}{
 		{"too long", 30, 40, false, 0, 20}, {"most of its time", 80, 40, false, 0, 60}, {"hardly any of its time", 4000, 40, false, 120, 280},
 		{"no longer than home", 30, 0, false, 120, 280}, {"nothing at home", 30, 40, true, 400, 400},
 	} {
-		b, r := begin("abcdefgh")
+		b, r := newTestBalancer("abcdefgh")
 		for _, name := range "efgh" {
 			b.Listed(EndpointID(name), Running, 1, 0, 0, 1, 0)
 		}
 		b.ListEnds(false)
-		dice := uint64(3)
-		answer := func(n int) (to EndpointID) {
+		rng := uint64(3)
+		runExchange := func(n int) (to EndpointID) {
 			x := ExchangeID(fmt.Sprint(n))
 			if to = arrive(b, r, x, replayable); to == "" {
 				b.ClientLeft(x)
 				return to
 			}
-			dice = dice*6364136223846793005 + 1442695040888963407
-			took := 1 - 20*math.Log(float64(dice>>33%1000)/1000+0.0005)
+			rng = rng*6364136223846793005 + 1442695040888963407
+			took := 1 - 20*math.Log(float64(rng>>33%1000)/1000+0.0005)
 			if b.byID[to].zone == 1 {
-				took += c.way
+				took += c.roundTripMs
 			}
 			b.SetNow(b.now + Millis(took))
 			b.LegEnded(x, 0, Succeeded, Millis(took), true)
-			beats(b, 1)
+			runUpkeep(b, 1)
 			return to
 		}
 		for n := range 200 { // with much time for each it is seen how long the ways are
-			answer(n)
+			runExchange(n)
 		}
 		b.products[replayable].Expected, b.products[replayable].Abandon = c.expected, c.expected
 		for _, name := range "abcd" {
@@ -1557,15 +1557,15 @@
 			}
 		}
 		b.ListEnds(false)
-		there, sent := 0, 0
+		otherZone, sent := 0, 0
 		for n := 200; sent < 400 && n < 5000; n++ {
 			b.lossShare, b.lossShareLong, b.outcomesByZone[0], b.outcomesByZone[1] = 0, 0, outcomeCounts{}, outcomeCounts{} // by the way alone, not by how legs fare
-			if to := answer(n); to != "" {
+			if to := runExchange(n); to != "" {
 				sent++
-				there += int(b.byID[to].zone)
+				otherZone += int(b.byID[to].zone)
 			}
 		}
 		assert.Equal(t, 400, sent, c.name)
-		assert.True(t, there >= c.least && there <= c.most, "%s: %d of 400 there, ways %.1f", c.name, there, b.pathLatency)
+		assert.True(t, otherZone >= c.least && otherZone <= c.most, "%s: %d of 400 there, ways %.1f", c.name, otherZone, b.pathLatency)
 	}
 }
--- a/logic/placement_test.go
+++ b/logic/placement_test.go
@@ -9,16 +9,16 @@
 
 // placed starts an instance before eight endpoints of two zones and two kinds of machine, with products bound to a zone, to a
 // kind, to both, to a zone that no endpoint has, to nothing, and one that may go anywhere.
-func placed(change func(*Terms)) (*Balancer, *record) {
-	r := &record{}
+func newPlacementBalancer(change func(*Terms)) (*Balancer, *recorder) {
+	r := &recorder{}
 	p := Product{Effect: Retryable, Expected: 1000, Abandon: 4000, Value: 1, OverdueShare: 0.5}
 	terms := Terms{Seed: 7, Fleet: 20, MaxLegs: 3, MayHedge: true, MayCancel: true, PullList: true, AskWithin: 10000,
 		ColdPeriod: 10000, FallWindow: 1000, ColdFrom: 0.1, FallMultiple: 3, TimerTick: 5}
-	for _, at := range []struct {
+	for _, bounds := range []struct {
 		zones []ZoneID
 		kinds []KindID
 	}{{[]ZoneID{0}, nil}, {nil, []KindID{1}}, {[]ZoneID{1}, []KindID{0}}, {[]ZoneID{9}, nil}, {[]ZoneID{}, nil}, {nil, nil}} {
-		p.RunsIn, p.AllowedOn = at.zones, at.kinds
+		p.RunsIn, p.AllowedOn = bounds.zones, bounds.kinds
 		terms.Products = append(terms.Products, p)
 	}
 	terms.Products[0].Effect, terms.Products[0].Group, terms.Products[0].DedupMemory = Deduplicated, OneCell, 3000
@@ -36,7 +36,7 @@
 
 // Whatever comes together, no leg of a product leaves for a place or kind that is not open to it, be it the first, a copy, a
 // further one, or one that waited: endpoints fail, fill up, drain, start cold, go out by hand and change their zone and kind.
-func TestPlacementIsKept(t *testing.T) {
+func TestLegsKeepPlacementConstraints(t *testing.T) {
 	for name, change := range map[string]func(*Terms){
 		"plain": nil, "keys": func(t *Terms) { t.WarmKeys = true },
 		"asked":               func(t *Terms) { t.MayProbe, t.ReportsLoad = true, true },
@@ -45,26 +45,26 @@
 	} {
 		sent := [6]int{}
 		for seed := range uint64(6) {
-			b, r := placed(change)
+			b, r := newPlacementBalancer(change)
 			b.rng ^= seed * 0x9e3779b97f4a7c15
 			zone, kind := map[string]ZoneID{}, map[string]KindID{}
 			for n, name := range "abcdefgh" {
 				zone[string(name)], kind[string(name)] = ZoneID(n%2), KindID(n/2%2)
 			}
-			type one struct {
+			type sentLeg struct {
 				id  ExchangeID
 				p   int
 				leg LegNo
 			}
-			var out []one
+			var inFlight []sentLeg
 			legs := map[ExchangeID]LegNo{}
 			products := map[ExchangeID]int{}
-			asked := []string{}
-			look := func() {
+			probed := []string{}
+			checkSent := func() {
 				for _, line := range r.take("send", "probe") {
 					var x, to string
 					if n, _ := fmt.Sscanf(line, "probe %s", &to); n == 1 {
-						asked = append(asked, to)
+						probed = append(probed, to)
 						continue
 					}
 					_, err := fmt.Sscanf(line, "send %s %s", &x, &to)
@@ -77,41 +77,41 @@
 						return
 					}
 					sent[p]++
-					out = append(out, one{ExchangeID(x), p, legs[ExchangeID(x)]})
+					inFlight = append(inFlight, sentLeg{ExchangeID(x), p, legs[ExchangeID(x)]})
 					legs[ExchangeID(x)]++
 				}
 			}
 			for step := range 4000 {
 				b.SetNow(b.now + Millis(20*b.random()))
-				at := string("abcdefgh"[int(b.random()*8)])
+				id := string("abcdefgh"[int(b.random()*8)])
 				switch what := b.random(); {
 				case what < 0.5:
 					x, p := ExchangeID(fmt.Sprint("x", step)), int(b.random()*6)
 					products[x] = p
 					b.Arrive(x, ProductID(p), -1, KeyID(1+step%5), b.now+4000, 0, false)
-				case what < 0.85 && len(out) > 0:
-					n := int(b.random() * float64(len(out)))
-					o := out[n]
-					out = append(out[:n], out[n+1:]...)
+				case what < 0.85 && len(inFlight) > 0:
+					n := int(b.random() * float64(len(inFlight)))
+					l := inFlight[n]
+					inFlight = append(inFlight[:n], inFlight[n+1:]...)
 					outcome := []Outcome{Succeeded, Succeeded, Errored, Full, TimedOut, Reset, NoConnection}[int(b.random()*7)]
-					b.LegEnded(o.id, o.leg, outcome, Millis(100*b.random()), outcome == Succeeded)
+					b.LegEnded(l.id, l.leg, outcome, Millis(100*b.random()), outcome == Succeeded)
 				case what < 0.88:
-					zone[at], kind[at] = ZoneID(b.random()*2), KindID(b.random()*2)
-					b.Listed(EndpointID(at), Running, zone[at], kind[at], 0, 1, 0)
+					zone[id], kind[id] = ZoneID(b.random()*2), KindID(b.random()*2)
+					b.Listed(EndpointID(id), Running, zone[id], kind[id], 0, 1, 0)
 					b.ListEnds(false)
 				case what < 0.9:
-					b.Listed(EndpointID(at), NotRunning, zone[at], kind[at], 0, 1, 0)
+					b.Listed(EndpointID(id), NotRunning, zone[id], kind[id], 0, 1, 0)
 					b.ListEnds(false)
 				case what < 0.91:
-					b.Listed(EndpointID(at), Running, zone[at], kind[at], 0, 1, b.now)
+					b.Listed(EndpointID(id), Running, zone[id], kind[id], 0, 1, b.now)
 					b.ListEnds(false)
 				case what < 0.92:
-					b.Drain(EndpointID(at))
+					b.Drain(EndpointID(id))
 				case what < 0.94:
-					b.Undrain(EndpointID(at))
+					b.Undrain(EndpointID(id))
 				case what < 0.97:
-					answered := asked
-					asked = nil
+					answered := probed
+					probed = nil
 					for _, to := range answered {
 						b.Probed(EndpointID(to), b.random() < 0.9, Load{Held: float64(int(5 * b.random()))})
 					}
@@ -123,7 +123,7 @@
 						x.next(b, x, stepEvent{kind: []eventKind{hedgeDue, waitExpired}[int(b.random()*2)]})
 					}
 				}
-				look()
+				checkSent()
 			}
 		}
 		for p, n := range sent {
@@ -138,8 +138,8 @@
 
 // What is bound waits for its own while these are full, and holds nobody else back; where there is nothing open to it at all it
 // is ended at once.
-func TestWhatIsBoundHoldsNobodyBack(t *testing.T) {
-	b, r := placed(nil)
+func TestConstrainedProductDoesNotBlockOthers(t *testing.T) {
+	b, r := newPlacementBalancer(nil)
 	b.minLimit, b.typicalLatency = 1, 50
 	for _, e := range b.ready {
 		if e.zone == 0 {
--- a/logic/pool_test.go
+++ b/logic/pool_test.go
@@ -9,8 +9,8 @@
 )
 
 // beginPool starts sidecar me of a pool before so many endpoints.
-func beginPool(me, fleet, endpoints int) (*Balancer, *record) {
-	r := &record{}
+func newPoolBalancer(me, fleet, endpoints int) (*Balancer, *recorder) {
+	r := &recorder{}
 	b := New(Terms{
 		Seed: uint64(me + 1), Fleet: fleet, SidecarNumber: PeerID(me), Peers: true, MaxLegs: 3, MayHedge: true, MayCancel: true,
 		Products:   []Product{{Effect: Retryable, Expected: 1000, Abandon: 4000, Value: 1}},
@@ -26,11 +26,11 @@
 
 // Without a bound of sharers hundreds of sidecars wore out what connections endpoints take (addis-roster: 59% of legs
 // got none); left to chance alone, some sidecar would share no endpoint at all.
-func TestPoolSharesEndpointsAmongFew(t *testing.T) {
+func TestPoolLimitsSidecarsPerEndpoint(t *testing.T) {
 	used := map[EndpointID]int{}
 	least := math.MaxInt
 	for me := range 400 {
-		b, _ := beginPool(me, 400, 200)
+		b, _ := newPoolBalancer(me, 400, 200)
 		for _, e := range b.ready {
 			used[e.id]++
 		}
@@ -45,26 +45,26 @@
 }
 
 // What another sidecar has out counts as ours: else each chooses blindly and some endpoints choke.
-func TestPoolCountsWhatOthersTell(t *testing.T) {
-	a, ra := beginPool(0, 2, 2)
-	b, rb := beginPool(1, 2, 2)
+func TestPoolCountsLegsReportedByPeers(t *testing.T) {
+	a, ra := newPoolBalancer(0, 2, 2)
+	b, rb := newPoolBalancer(1, 2, 2)
 	for n := range 40 {
 		x := ExchangeID(fmt.Sprint(n))
 		ra.take()
 		a.Arrive(x, 0, -1, 0, a.now+4000, 0, false)
-		told := pass(t, ra, b)
-		assert.Equal(t, 1, told)
+		messages := deliverMessages(t, ra, b)
+		assert.Equal(t, 1, messages)
 		to := a.exchanges[x].legs[0].to.id
 		assert.NotEqual(t, to, arrive(b, rb, x, 0), "the other one is idle")
 		a.LegEnded(x, 0, Succeeded, 50, true)
-		pass(t, ra, b)
-		near(t, 0, b.byID[to].peerWork)
+		deliverMessages(t, ra, b)
+		assertClose(t, 0, b.byID[to].peerWork)
 		b.LegEnded(x, 0, Succeeded, 50, true)
 	}
 }
 
 // pass hands b what the other one told, and returns how much it was.
-func pass(t *testing.T, r *record, b *Balancer) (n int) {
+func deliverMessages(t *testing.T, r *recorder, b *Balancer) (n int) {
 	for _, l := range r.take("tell") {
 		var to int
 		var text []byte
@@ -79,45 +79,45 @@
 }
 
 // Messages get lost, come late, twice or spoilt: none of it may leave a load that nobody has.
-func TestToldSurvivesTheWay(t *testing.T) {
+func TestPeerMessagesTolerateLossAndCorruption(t *testing.T) {
 	mark := wireIDOf("e0")
-	note := func(turn, work byte) []byte {
-		return []byte{byte(mark >> 8), byte(mark), turn, work, 0, 0, 0, 0, 0, 0, 0}
+	message := func(seq, work byte) []byte {
+		return []byte{byte(mark >> 8), byte(mark), seq, work, 0, 0, 0, 0, 0, 0, 0}
 	}
 	for _, c := range []struct {
-		name  string
-		from  PeerID
-		texts [][]byte
-		want  float64
+		name     string
+		from     PeerID
+		messages [][]byte
+		want     float64
 	}{
-		{"one leg", 1, [][]byte{note(1, 4)}, 1},
-		{"the latest counts", 1, [][]byte{note(1, 4), note(2, 12)}, 3},
-		{"overtaken", 1, [][]byte{note(2, 12), note(1, 4)}, 3},
-		{"twice", 1, [][]byte{note(1, 4), note(1, 4)}, 1},
-		{"turns go round", 1, [][]byte{note(120, 4), note(240, 4), note(3, 8)}, 2},
-		{"too short", 1, [][]byte{note(1, 4)[:10]}, 0},
-		{"too long", 1, [][]byte{append(note(1, 4), 0)}, 0},
+		{"one leg", 1, [][]byte{message(1, 4)}, 1},
+		{"the latest counts", 1, [][]byte{message(1, 4), message(2, 12)}, 3},
+		{"overtaken", 1, [][]byte{message(2, 12), message(1, 4)}, 3},
+		{"twice", 1, [][]byte{message(1, 4), message(1, 4)}, 1},
+		{"turns go round", 1, [][]byte{message(120, 4), message(240, 4), message(3, 8)}, 2},
+		{"too short", 1, [][]byte{message(1, 4)[:10]}, 0},
+		{"too long", 1, [][]byte{append(message(1, 4), 0)}, 0},
 		{"empty", 1, [][]byte{nil}, 0},
 		{"an endpoint nobody named", 1, [][]byte{{0, 0, 1, 4, 0, 0, 0, 0, 0, 0, 0}}, 0},
-		{"from ourselves", 0, [][]byte{note(1, 4)}, 0},
+		{"from ourselves", 0, [][]byte{message(1, 4)}, 0},
 		{"an outcome that is none", 1, [][]byte{{byte(mark >> 8), byte(mark), 1, 4, 9, 0, 0, 0, 0, 0, 0}}, 0},
-		{"from below", -1, [][]byte{note(1, 4)}, 0},
+		{"from below", -1, [][]byte{message(1, 4)}, 0},
 	} {
-		b, _ := beginPool(0, 2, 2)
-		for _, text := range c.texts {
+		b, _ := newPoolBalancer(0, 2, 2)
+		for _, text := range c.messages {
 			b.PeerMessage(c.from, text)
 		}
-		near(t, c.want, b.byID["e0"].peerWork)
-		beats(b, 11) // over the longest expected time: whoever told is no more, or the end got lost
-		near(t, 0, b.byID["e0"].peerWork)
+		assertClose(t, c.want, b.byID["e0"].peerWork)
+		runUpkeep(b, 11) // over the longest expected time: whoever told is no more, or the end got lost
+		assertClose(t, 0, b.byID["e0"].peerWork)
 		assert.Equal(t, 0.0, b.byID["e1"].peerWork, c.name)
 	}
-	b, _ := begin("a")
-	b.PeerMessage(1, note(1, 4)) // where there is no pool
+	b, _ := newTestBalancer("a")
+	b.PeerMessage(1, message(1, 4)) // where there is no pool
 }
 
 // answered passes n exchanges that each take so long, of the given cost.
-func answered(b *Balancer, n int, took Millis, cost float64) {
+func serveWithCost(b *Balancer, n int, took Millis, cost float64) {
 	for i := range n {
 		x := ExchangeID(fmt.Sprintf("a%d-%d", b.latencyCount, i))
 		b.Arrive(x, 0, -1, 0, b.now+4000, cost, false)
@@ -127,7 +127,7 @@
 }
 
 // An endpoint that takes long for one exchange alone was taken for crowded, and two cores got one leg between them.
-func TestPaceGivesRoom(t *testing.T) {
+func TestPoolLimitsLegsByEndpointLatency(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		took Millis
@@ -135,8 +135,8 @@
 	}{
 		{"quick", 40, 4}, {"slow, not crowded", 200, 2}, {"so slow that none may wait", 400, 1},
 	} {
-		b, r := beginPool(0, 2, 1)
-		answered(b, 200, c.took, 0)
+		b, r := newPoolBalancer(0, 2, 1)
+		serveWithCost(b, 200, c.took, 0)
 		out := 0
 		for n := range 12 {
 			if arrive(b, r, ExchangeID(fmt.Sprint(n)), 0) != "" {
@@ -150,24 +150,24 @@
 }
 
 // Servers that all turned slow together must not make longer queues look right: that kept them choked for half a minute.
-func TestSlownessOfAllGivesNoMoreRoom(t *testing.T) {
-	b, _ := beginPool(0, 2, 1)
-	answered(b, 200, 50, 0)
+func TestSharedSlowdownRaisesUnloadedLatencySlowly(t *testing.T) {
+	b, _ := newPoolBalancer(0, 2, 1)
+	serveWithCost(b, 200, 50, 0)
 	before := b.unloadedLatency
-	answered(b, 20, 300, 0)
+	serveWithCost(b, 20, 300, 0)
 	assert.Less(t, b.unloadedLatency, before*1.6)
-	answered(b, 200, 50, 0)
+	serveWithCost(b, 200, 50, 0)
 	assert.InDelta(t, before, b.unloadedLatency, before*0.2, "it falls at once")
 }
 
 // A leg told with next to no work ahead made the time alone infinite, then no number, and everything had room.
-func TestLightLegsLeaveTimesSane(t *testing.T) {
-	b, r := beginPool(0, 2, 2)
+func TestLegsOfTinyWorkKeepLatenciesFinite(t *testing.T) {
+	b, r := newPoolBalancer(0, 2, 2)
 	mark := wireIDOf("e0")
-	for turn := range 200 {
-		b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), byte(turn), 0, byte(Succeeded), 0, 0, 1, 0, 0, 0})
-		answered(b, 1, 50, 0.001)
-		answered(b, 1, 50, 100)
+	for seq := range 200 {
+		b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), byte(seq), 0, byte(Succeeded), 0, 0, 1, 0, 0, 0})
+		serveWithCost(b, 1, 50, 0.001)
+		serveWithCost(b, 1, 50, 100)
 	}
 	e := b.byID["e0"]
 	for _, f := range []float64{b.unloadedLatency, e.latencySum, e.workSum, e.latencySum / e.workSum, b.unitCapacity, b.typicalLatency} {
@@ -183,12 +183,12 @@
 }
 
 // A heavy exchange is no slow endpoint, and what is heavy weighs in the account of the others.
-func TestHintsWeigh(t *testing.T) {
-	a, ra := beginPool(0, 2, 2)
-	b, _ := beginPool(1, 2, 2)
+func TestCostHintsWeighLegs(t *testing.T) {
+	a, ra := newPoolBalancer(0, 2, 2)
+	b, _ := newPoolBalancer(1, 2, 2)
 	for range 50 {
-		answered(a, 1, 50, 10)
-		answered(b, 1, 50, 10)
+		serveWithCost(a, 1, 50, 10)
+		serveWithCost(b, 1, 50, 10)
 		ra.take()
 	}
 	for id, e := range a.byID {
@@ -196,7 +196,7 @@
 	}
 	a.Arrive("heavy", 0, -1, 0, a.now+4000, 100, false)
 	to := a.exchanges["heavy"].legs[0].to.id
-	pass(t, ra, b)
+	deliverMessages(t, ra, b)
 	assert.Greater(t, b.byID[to].peerWork, 4.0)
 	for n := range 2 {
 		x := ExchangeID(fmt.Sprint("l", n))
@@ -207,9 +207,9 @@
 
 // Sharers each with a budget of their own would push a cold endpoint over together; each with a part of what it sends itself
 // left a fleet's new endpoints idle while the old ones were full.
-func TestColdBudgetIsThePools(t *testing.T) {
-	b, r := beginPool(0, 2, 1)
-	answered(b, 200, 50, 0)
+func TestColdBudgetIsSharedByThePool(t *testing.T) {
+	b, r := newPoolBalancer(0, 2, 1)
+	serveWithCost(b, 200, 50, 0)
 	b.Listed("e9", Running, 0, 0, 0, 1, b.now)
 	b.ListEnds(false)
 	e := b.byID["e9"]
@@ -219,13 +219,13 @@
 	}
 	before := e.coldTokens
 	b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), 0, 4, byte(Unknown), 0, 4, 0, 0, 4, 0})
-	near(t, before-1, e.coldTokens)
+	assertClose(t, before-1, e.coldTokens)
 	start := b.now
-	sent, told := 0, 0
+	sent, reported := 0, 0
 	for n := 0; b.now < start+1000; n++ {
 		if n%2 == 0 && b.maySend(&exchange{product: &b.products[0], work: 1, deadline: b.now + 1000}, e) {
-			b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), byte(told + 1), 4, byte(Unknown), 0, 4, 0, 0, 4, 0})
-			told++
+			b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), byte(reported + 1), 4, byte(Unknown), 0, 4, 0, 0, 4, 0})
+			reported++
 		}
 		b.byID["e0"].weight = 0.001
 		if x := ExchangeID(fmt.Sprint("c", n)); arrive(b, r, x, 0) == "e9" {
@@ -241,59 +241,59 @@
 		}
 	}
 	// A warm one serves 20 a second alone; cold from 0.1 of that, three times it is the limit: 6, and a little more as it warms.
-	assert.LessOrEqual(t, sent+told, 9)
-	assert.GreaterOrEqual(t, sent+told, 2)
+	assert.LessOrEqual(t, sent+reported, 9)
+	assert.GreaterOrEqual(t, sent+reported, 2)
 }
 
 // Where value is paid for each unit of work, the product of most value per exchange and work is not the worthiest.
-func TestRankByWork(t *testing.T) {
+func TestRankByValuePerUnitOfWork(t *testing.T) {
 	for byWork, first := range map[bool]ProductID{true: 1, false: 0} {
 		b := New(Terms{Fleet: 1, MaxLegs: 1, ByWork: byWork, Products: []Product{
 			{Expected: 400, Value: 2}, {Expected: 4000, Value: 5},
-		}}, &record{}, 0)
+		}}, &recorder{}, 0)
 		light, heavy := b.rank(&exchange{product: &b.products[0], tenant: -1}), b.rank(&exchange{product: &b.products[1], tenant: -1})
 		assert.Equal(t, first == 1, heavy > light)
 	}
 }
 
 // A tenant that floods must be known from what all sharers took, not from one sidecar's few exchanges.
-func TestTenantsOfThePool(t *testing.T) {
-	b, _ := beginPool(0, 2, 2)
+func TestTenantSharesCountExchangesOfPeers(t *testing.T) {
+	b, _ := newPoolBalancer(0, 2, 2)
 	b.tenantShares, b.admitted, b.overShareValue = []float64{0.5, 0.5}, make([]float64, 2), 0.05
 	mark := wireIDOf("e0")
 	x := &exchange{product: &b.products[0], tenant: 1}
 	within := b.rank(x)
-	for turn := range 20 {
-		b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), byte(turn + 1), 4, byte(Unknown), 0, 4, 0, 0, 4, 2})
+	for seq := range 20 {
+		b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), byte(seq + 1), 4, byte(Unknown), 0, 4, 0, 0, 4, 2})
 	}
-	near(t, within*0.05, b.rank(x))
+	assertClose(t, within*0.05, b.rank(x))
 	b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), 30, 4, byte(Unknown), 0, 4, 0, 0, 4, 200}) // a tenant that is none
-	near(t, 20, b.admittedTotal)
+	assertClose(t, 20, b.admittedTotal)
 }
 
 // Sharers see less of each other than there is when messages are lost, and who filled up is told of nothing: together they
 // must still not push a cold endpoint over. Who filled up had a whole budget each, and nobody to share it with.
-func TestColdBudgetWithMessagesLost(t *testing.T) {
+func TestColdBudgetHoldsWhenMessagesAreLost(t *testing.T) {
 	const fleet, took = 40, Millis(50)
-	for _, lost := range []int{0, 4, 2} { // one in so many
-		pool, recs := make([]*Balancer, fleet), make([]*record, fleet)
+	for _, lostOneIn := range []int{0, 4, 2} { // one in so many
+		pool, recorders := make([]*Balancer, fleet), make([]*recorder, fleet)
 		for me := range pool {
-			pool[me], recs[me] = beginPool(me, fleet, 1)
-			answered(pool[me], 200, took, 0)
+			pool[me], recorders[me] = newPoolBalancer(me, fleet, 1)
+			serveWithCost(pool[me], 200, took, 0)
 			pool[me].Listed("cold", Running, 0, 0, 0, 1, pool[me].now)
 			pool[me].ListEnds(false)
-			recs[me].take()
+			recorders[me].take()
 		}
-		start, heard := pool[0].now, 0
+		start, messages := pool[0].now, 0
 		sent := []Millis{}
 		ends := map[Millis][]func(){}
-		busy := map[EndpointID]Millis{}
+		busyUntil := map[EndpointID]Millis{}
 		deliver := func(me int) {
-			for _, l := range recs[me].take("tell", "send") {
+			for _, l := range recorders[me].take("tell", "send") {
 				var to int
 				var text []byte
 				if n, _ := fmt.Sscanf(l, "tell %d %x", &to, &text); n == 2 {
-					if heard++; lost == 0 || heard*7919%1000 >= 1000/lost {
+					if messages++; lostOneIn == 0 || messages*7919%1000 >= 1000/lostOneIn {
 						pool[to].SetNow(pool[me].now)
 						pool[to].PeerMessage(PeerID(me), text)
 					}
@@ -323,8 +323,8 @@
 				if to == "cold" {
 					work = Millis(float64(took) / (0.1 + 0.9*float64(n)/10000))
 				}
-				busy[to] = max(busy[to], now) + work
-				end := now + Millis(math.Ceil(float64(busy[to]-now)/10)*10)
+				busyUntil[to] = max(busyUntil[to], now) + work
+				end := now + Millis(math.Ceil(float64(busyUntil[to]-now)/10)*10)
 				ends[end] = append(ends[end], func() {
 					b.SetNow(end)
 					b.LegEnded(x, 0, Succeeded, end-now, true)
@@ -344,7 +344,7 @@
 				}
 			}
 			limit := 3 * (0.1 + 0.9*float64(from-start+500)/10000) * 20
-			assert.LessOrEqual(t, float64(count), limit+2, "one in %d lost, from %.0f ms on", lost, float64(from-start))
+			assert.LessOrEqual(t, float64(count), limit+2, "one in %d lost, from %.0f ms on", lostOneIn, float64(from-start))
 		}
 	}
 }
