--- a/cmd/lynxjunction/crowded_discovery_test.go
+++ b/cmd/lynxjunction/crowded_discovery_test.go
@@ -192,7 +192,7 @@
 			for process, last := range trial.last {
 				assert.LessOrEqual(t, last.Sub(back), bound, "last request of %s to the endpoint that drains", process)
 			}
-			assert.LessOrEqual(t, trial.discovery.queue.Made(), 6*crowdProcesses, "calls after discovery's return")
+			assert.LessOrEqual(t, trial.discovery.queue.CallCount(), 6*crowdProcesses, "calls after discovery's return")
 		})
 	}
 }
--- a/cmd/lynxjunction/drain_lease_test.go
+++ b/cmd/lynxjunction/drain_lease_test.go
@@ -88,11 +88,11 @@
 
 // crowd has calls of others wait in the queue.
 func (d *leaseDiscovery) crowd(t *testing.T, many int) {
-	before := d.queue.Made()
+	before := d.queue.CallCount()
 	for range many {
 		go d.queue.Take(context.Background(), "others")
 	}
-	require.Eventually(t, func() bool { return d.queue.Made() >= before+many }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return d.queue.CallCount() >= before+many }, time.Second, time.Millisecond)
 }
 
 // hold keeps all calls without an answer until the gate that it returns is closed.
--- a/internal/callqueue/callqueue.go
+++ b/internal/callqueue/callqueue.go
@@ -23,19 +23,19 @@
 	// Refuse refuses at once a call that would wait longer, and the other calls of its caller with it.
 	Refuse
 	// Policies is how many there are.
-	Policies
+	NumPolicies
 )
 
 // Queue is the queue of one discovery. It may be used from any goroutine.
 type Queue struct {
-	work     time.Duration
-	patience time.Duration
-	policy   Policy
-
-	mu    sync.Mutex
-	calls []*call // the first is in work
-	down  bool
-	made  int
+	work    time.Duration
+	maxWait time.Duration
+	policy  Policy
+
+	mu        sync.Mutex
+	calls     []*call // the first is in work
+	down      bool
+	callCount int
 }
 
 // call is one in the queue. Its place and its work stay when it is refused or given up.
@@ -47,21 +47,21 @@
 }
 
 // New is an empty queue; work is that of each call, and patience is of no use to Wait.
-func New(work, patience time.Duration, policy Policy) *Queue {
-	return &Queue{work: work, patience: patience, policy: policy}
+func New(work, maxWait time.Duration, policy Policy) *Queue {
+	return &Queue{work: work, maxWait: maxWait, policy: policy}
 }
 
 // Take waits until discovery has done a call's work. It returns ErrRefused, or the context's error where the caller has given up.
 func (q *Queue) Take(ctx context.Context, caller string) error {
-	c, err := q.join(caller)
+	c, err := q.enqueue(caller)
 	if err != nil {
 		return err
 	}
-	var dropped <-chan time.Time
+	var dropTimer <-chan time.Time
 	if q.policy == Drop {
-		timer := time.NewTimer(q.patience)
+		timer := time.NewTimer(q.maxWait)
 		defer timer.Stop()
-		dropped = timer.C
+		dropTimer = timer.C
 	}
 	for {
 		select {
@@ -72,22 +72,22 @@
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-dropped:
-			dropped = nil
+		case <-dropTimer:
+			dropTimer = nil
 			q.drop(c)
 		}
 	}
 }
 
 // join puts a call at the end of the queue, or refuses it.
-func (q *Queue) join(caller string) (*call, error) {
+func (q *Queue) enqueue(caller string) (*call, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.made++
+	q.callCount++
 	if q.down {
 		return nil, ErrRefused
 	}
-	if q.policy == Refuse && time.Duration(len(q.calls))*q.work > q.patience {
+	if q.policy == Refuse && time.Duration(len(q.calls))*q.work > q.maxWait {
 		for _, other := range q.calls {
 			if other.caller == caller {
 				other.refuse()
@@ -151,12 +151,12 @@
 func (q *Queue) Up() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.down, q.made = false, 0
+	q.down, q.callCount = false, 0
 }
 
 // Made is how many calls were made since the queue began, or came Up.
-func (q *Queue) Made() int {
+func (q *Queue) CallCount() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.made
+	return q.callCount
 }
--- a/internal/callqueue/callqueue_test.go
+++ b/internal/callqueue/callqueue_test.go
@@ -10,9 +10,9 @@
 )
 
 // waits makes so many calls of one caller each, at once, and returns how long each waited; negative where it was refused.
-func waits(t *testing.T, q *Queue, many int) (took []time.Duration) {
-	results := make(chan time.Duration, many)
-	for n := range many {
+func waitTimes(t *testing.T, q *Queue, count int) (waited []time.Duration) {
+	results := make(chan time.Duration, count)
+	for n := range count {
 		began := time.Now()
 		go func() {
 			err := q.Take(t.Context(), string(rune('a'+n)))
@@ -24,14 +24,14 @@
 		}()
 		synctest.Wait()
 	}
-	for range many {
-		took = append(took, <-results)
+	for range count {
+		waited = append(waited, <-results)
 	}
-	return took
+	return waited
 }
 
-func TestCallsAreWorkedThroughInTurn(t *testing.T) {
-	const work, patience = time.Second, 2500 * time.Millisecond
+func TestCallsAreServedInOrder(t *testing.T) {
+	const work, maxWait = time.Second, 2500 * time.Millisecond
 	for _, c := range []struct {
 		policy Policy
 		want   []time.Duration
@@ -41,13 +41,13 @@
 		{Refuse, []time.Duration{-1, -1, 1e9, 2e9, 3e9}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			assert.ElementsMatch(t, c.want, waits(t, New(work, patience, c.policy), 5), "policy %d", c.policy)
+			assert.ElementsMatch(t, c.want, waitTimes(t, New(work, maxWait, c.policy), 5), "policy %d", c.policy)
 		})
 	}
 }
 
 // A call that is given up is worked for all the same, and one that is refused ends its caller's other calls.
-func TestPlacesOfCallsThatWereGivenUp(t *testing.T) {
+func TestAbandonedCallsKeepTheirQueuePositions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := New(time.Second, 1500*time.Millisecond, Refuse)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -67,6 +67,6 @@
 		assert.ErrorIs(t, q.Take(t.Context(), "c"), ErrRefused)
 		q.Up()
 		assert.NoError(t, q.Take(t.Context(), "c"))
-		assert.Equal(t, 1, q.Made())
+		assert.Equal(t, 1, q.CallCount())
 	})
 }
--- a/internal/rig/list.go
+++ b/internal/rig/list.go
@@ -124,7 +124,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.queue = nil; round > 0 {
-		policy := callqueue.Policy(l.rig.s.SeedOf("list-busy") % uint64(callqueue.Policies))
+		policy := callqueue.Policy(l.rig.s.SeedOf("list-busy") % uint64(callqueue.NumPolicies))
 		l.queue = callqueue.New(round/time.Duration(l.rig.s.Fleet.Sidecars), queuePatience, policy)
 		if l.off > 0 {
 			l.queue.Down()
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -47,7 +47,7 @@
 	if seeded == "impatient" {
 		return time.Second
 	}
-	return min(time.Duration(logic.AnswerPatience)*time.Millisecond, d.silence*answerSilences)
+	return min(time.Duration(logic.AnswerTimeout)*time.Millisecond, d.silence*answerSilences)
 }
 
 // answerSilences is answerLast in times of the silence after which a watch has ended.
--- a/internal/sidecar/list_events.go
+++ b/internal/sidecar/list_events.go
@@ -43,7 +43,7 @@
 	defer func() {
 		if !whole { // a panic between the list's start and its end: half of it is no list to go by
 			l.list.again()
-			l.module.ListLost(0, false)
+			l.module.WatchEnded(0, false)
 		}
 	}()
 	e.full = e.full && !older
@@ -66,7 +66,7 @@
 		l.list.again()
 		l.module.ListStale()
 	case first:
-		l.module.ListHeard(millis(took))
+		l.module.ListReceived(millis(took))
 	}
 }
 
@@ -137,7 +137,7 @@
 
 func (e listReached) happen(l *loop) {
 	if call, open := l.list.calls[e.watch]; open && call.moves == l.list.moves {
-		l.module.ListReached(e.answering)
+		l.module.ListCallAccepted(e.answering)
 	}
 }
 
@@ -175,14 +175,14 @@
 	l.log.Log(level, "watch ended", zap.Error(e.cause), zap.Bool("had_told", ended), zap.Float64("lasted_ms", milliseconds(now.Sub(failed.Began))))
 	switch {
 	case ended:
-		l.module.ListLost(millis(failed.silentFor()), failed.orderly())
+		l.module.WatchEnded(millis(failed.silentFor()), failed.orderly())
 	case failed.refused():
 		l.counters.listCallsRefused.Add(1)
-		l.module.ListRefused(millis(failed.Took), l.list.takenIn(now))
+		l.module.ListCallRefused(millis(failed.Took), l.list.takenIn(now))
 	case failed.unreachable():
-		l.module.ListUnreachable(millis(failed.Took))
+		l.module.DiscoveryUnreachable(millis(failed.Took))
 	default:
-		l.module.ListFailed()
+		l.module.ListCallFailed()
 	}
 }
 
@@ -213,6 +213,6 @@
 	if l.list.move(e.discovery) {
 		l.list.outage.begin(time.Now())
 		l.list.outage.moved = true
-		l.module.ListMoved()
+		l.module.DiscoveryMoved()
 	}
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -598,9 +598,9 @@
 func (l *loop) SetTimer(after logic.Millis, t logic.TimerID) { l.set(alarm{at: l.now + after, id: t}) }
 
 func (l *loop) Watch() {
-	openMost := logic.OpenCallsMost
+	openMost := logic.MaxOpenCalls
 	if l.module != nil && l.module.Suspended() { // it calls first while it starts
-		openMost = logic.OpenCallsSuspended
+		openMost = logic.MaxOpenCallsSuspended
 	}
 	if !l.list.call(l.ctx, openMost, l.postNews) {
 		return
--- a/internal/virtual/baselines.go
+++ b/internal/virtual/baselines.go
@@ -79,7 +79,7 @@
 		b.up = append(b.up, id)
 	}
 }
-func (b *baseline) ListFailed()              { b.SetTimer(1000, 1) }
+func (b *baseline) ListCallFailed()          { b.SetTimer(1000, 1) }
 func (b *baseline) TimerFired(logic.TimerID) { b.Watch() }
 func (b *baseline) Arrive(id logic.ExchangeID, _ logic.ProductID, _ logic.TenantID, _ logic.KeyID, _ logic.Millis, _ float64, _ bool) {
 	if len(b.up) == 0 {
--- a/internal/virtual/faults.go
+++ b/internal/virtual/faults.go
@@ -94,7 +94,7 @@
 			if c.asking && !c.down {
 				c.asking = false
 				c.decider.SetNow(logic.Millis(w.now + epoch))
-				c.decider.ListFailed()
+				c.decider.ListCallFailed()
 			}
 		}
 	case "list-late":
--- a/internal/virtual/golden_days_test.go
+++ b/internal/virtual/golden_days_test.go
@@ -314,7 +314,7 @@
 		at(seconds, func() {
 			if i.watching {
 				i.watching, i.sidecar.asking = false, false
-				i.ListLost(0, false)
+				i.WatchEnded(0, false)
 			}
 		})
 	}
@@ -322,7 +322,7 @@
 		at(seconds, func() {
 			i.watching, i.sidecar.asking = false, false
 			i.lapsed = i.calls
-			i.ListMoved()
+			i.DiscoveryMoved()
 		})
 	}
 }
@@ -352,17 +352,17 @@
 	}
 	if !fromDisk && i.day.callWork > 0 && !i.watching {
 		i.watching = true
-		i.ListHeard(logic.Millis(i.sidecar.world.now - i.called))
+		i.ListReceived(logic.Millis(i.sidecar.world.now - i.called))
 	}
 }
 
-func (i *instance) ListFailed() {
+func (i *instance) ListCallFailed() {
 	if i.watching {
 		i.watching = false
-		i.ListLost(0, false)
+		i.WatchEnded(0, false)
 		return
 	}
-	i.Balancer.ListFailed()
+	i.Balancer.ListCallFailed()
 }
 
 // chanceOf is a number from 0 to 1 that follows from an exchange and a purpose.
@@ -513,7 +513,7 @@
 	i.calls++
 	call, called := i.calls, w.now
 	if w.listOff > 0 || i.free-w.now > queueMost {
-		i.later(way, func() { i.ListRefused(way, false) })
+		i.later(way, func() { i.ListCallRefused(way, false) })
 		return
 	}
 	i.free = max(i.free, w.now) + i.day.callWork
@@ -524,7 +524,7 @@
 		switch {
 		case i.watching:
 		case w.listOff > 0:
-			i.ListRefused(logic.Millis(w.now-called), false)
+			i.ListCallRefused(logic.Millis(w.now-called), false)
 		case call <= i.lapsed:
 		default:
 			i.called, i.sidecar.asking, i.sidecar.heard = called, true, -1
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -32,7 +32,7 @@
 	Listed(id logic.EndpointID, h logic.Health, zone logic.ZoneID, kind logic.KindID, cell logic.CellID, size float64, readyAt logic.Millis)
 	ListStarts()
 	ListEnds(fromDisk bool)
-	ListFailed()
+	ListCallFailed()
 	Arrive(id logic.ExchangeID, p logic.ProductID, t logic.TenantID, k logic.KeyID, abandon logic.Millis, cost float64, coming bool)
 	LegEnded(id logic.ExchangeID, n logic.LegNo, o logic.Outcome, took logic.Millis, closed bool)
 	ClientLeft(id logic.ExchangeID)
@@ -558,7 +558,7 @@
 		}
 		if c.world.listOff > 0 {
 			c.decider.SetNow(logic.Millis(c.world.now + epoch))
-			c.decider.ListFailed()
+			c.decider.ListCallFailed()
 			return
 		}
 		c.asking = true
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -180,7 +180,7 @@
 
 func (i *instance) members(scope string, list *inventory) {
 	if scope == "error" {
-		i.module.ListFailed()
+		i.module.ListCallFailed()
 		return
 	}
 	if list == nil {
--- a/logic/discovery_capacity_test.go
+++ b/logic/discovery_capacity_test.go
@@ -24,57 +24,57 @@
 // with no further call while one is open the same day had 63 calls in place of 733 and every process heard its list.
 
 // queueKind is what discovery does with calls that it can't answer soon.
-type queueKind int
+type queuePolicy int
 
 const (
-	endless        queueKind = iota // each call waits for its turn
-	droppingWaits                   // a call that has waited for queuePatience is refused then
-	refusingAtOnce                  // a call that would wait longer than that is refused at once, and so are its process's others
-	queueKinds
+	waitForTurn       queuePolicy = iota // each call waits for its turn
+	dropAfterWait                        // a call that has waited for queuePatience is refused then
+	refuseImmediately                    // a call that would wait longer than that is refused at once, and so are its process's others
+	queuePolicies
 )
 
-func (k queueKind) String() string {
-	return [queueKinds]string{"endless queue", "calls that waited are dropped", "refused at once"}[k]
+func (k queuePolicy) String() string {
+	return [queuePolicies]string{"endless queue", "calls that waited are dropped", "refused at once"}[k]
 }
 
 const (
-	queuePatience Millis = 3000
-	outageLasts   Millis = 5000
+	queueWaitLimit Millis = 3000
+	outageDuration Millis = 5000
 	// notifiedGrace is how long after the bound a request may still go to an endpoint that drains.
-	notifiedGrace Millis = 550
+	graceAfterBound Millis = 550
 )
 
 // queueCall is a call in discovery's queue. Its work is done whether or not its process still waits for it.
 type queueCall struct {
-	process *queueProcess
-	came    Millis
-	ended   bool
-	moot    bool // refused or dropped: no work
+	process   *queueProcess
+	arrivedAt Millis
+	ended     bool
+	dropped   bool // refused or dropped: no work
 }
 
 // queueDiscovery works through its calls in turn.
 type queueDiscovery struct {
 	eventQueue
-	kind      queueKind
-	work      Millis // of a call
-	down      bool
-	busy      bool
-	waiting   []*queueCall
-	spoilt    float64 // share of answers that break off
-	draw      *rand.Rand
-	calls     int
-	processes []*queueProcess
+	policy         queuePolicy
+	work           Millis // of a call
+	down           bool
+	busy           bool
+	waiting        []*queueCall
+	truncatedShare float64 // share of answers that break off
+	rng            *rand.Rand
+	calls          int
+	processes      []*queueProcess
 }
 
 // queueProcess is one of its callers.
 type queueProcess struct {
 	Outgoing
-	d       *queueDiscovery
-	b       *Balancer
-	open    []*queueCall
-	heard   bool
-	heardAt Millis
-	alarms  int
+	d          *queueDiscovery
+	b          *Balancer
+	open       []*queueCall
+	received   bool
+	receivedAt Millis
+	alarms     int
 }
 
 func (p *queueProcess) SetTimer(after Millis, t TimerID) {
@@ -85,17 +85,17 @@
 
 func (p *queueProcess) Watch() {
 	d := p.d
-	if p.heard {
+	if p.received {
 		return
 	}
 	d.calls++
-	c := &queueCall{process: p, came: d.now}
+	c := &queueCall{process: p, arrivedAt: d.now}
 	p.open = append(p.open, c)
-	if d.down || d.kind == refusingAtOnce && Millis(len(d.waiting))*d.work > queuePatience {
-		c.moot = true
+	if d.down || d.policy == refuseImmediately && Millis(len(d.waiting))*d.work > queueWaitLimit {
+		c.dropped = true
 		d.schedule(2, func() {
 			d.refuse(c)
-			if !d.down && d.kind == refusingAtOnce {
+			if !d.down && d.policy == refuseImmediately {
 				for _, other := range slices.Clone(p.open) {
 					d.refuse(other)
 				}
@@ -104,16 +104,16 @@
 		return
 	}
 	d.waiting = append(d.waiting, c)
-	d.schedule(AnswerPatience, func() {
-		if p.close(c) {
+	d.schedule(AnswerTimeout, func() {
+		if p.closeCall(c) {
 			p.b.SetNow(d.now)
-			p.b.ListFailed()
+			p.b.ListCallFailed()
 		}
 	})
-	if d.kind == droppingWaits {
-		d.schedule(queuePatience, func() {
+	if d.policy == dropAfterWait {
+		d.schedule(queueWaitLimit, func() {
 			if slices.Contains(d.waiting, c) && !(d.busy && d.waiting[0] == c) {
-				c.moot = true
+				c.dropped = true
 				d.refuse(c)
 			}
 		})
@@ -124,7 +124,7 @@
 }
 
 // close takes a call from the open ones; false if it is none.
-func (p *queueProcess) close(c *queueCall) bool {
+func (p *queueProcess) closeCall(c *queueCall) bool {
 	if c.ended {
 		return false
 	}
@@ -134,16 +134,16 @@
 }
 
 func (d *queueDiscovery) refuse(c *queueCall) {
-	if c.process.close(c) {
+	if c.process.closeCall(c) {
 		c.process.b.SetNow(d.now)
-		c.process.b.ListRefused(d.now-c.came, false)
+		c.process.b.ListCallRefused(d.now-c.arrivedAt, false)
 	}
 }
 
 // serve takes on the first call that waits; refused ones cost no work, those given up do.
 func (d *queueDiscovery) serve() {
 	d.busy = false
-	for len(d.waiting) > 0 && d.waiting[0].moot {
+	for len(d.waiting) > 0 && d.waiting[0].dropped {
 		d.waiting = d.waiting[1:]
 	}
 	if len(d.waiting) == 0 || d.down {
@@ -162,79 +162,79 @@
 
 func (d *queueDiscovery) answer(c *queueCall) {
 	p := c.process
-	if !p.close(c) {
+	if !p.closeCall(c) {
 		return
 	}
 	p.b.SetNow(d.now)
-	if d.draw.Float64() < d.spoilt {
-		p.b.ListFailed()
+	if d.rng.Float64() < d.truncatedShare {
+		p.b.ListCallFailed()
 		return
 	}
-	p.heard, p.heardAt = true, d.now
+	p.received, p.receivedAt = true, d.now
 	for _, other := range slices.Clone(p.open) {
-		p.close(other)
+		p.closeCall(other)
 	}
 	p.b.ListEnds(false)
-	p.b.ListHeard(d.now - c.came)
+	p.b.ListReceived(d.now - c.arrivedAt)
 }
 
 // newQueueDiscovery starts a whole fleet with known lists; a round is the work of one call of each process.
-func newQueueDiscovery(kind queueKind, fleet int, round Millis, seed uint64) *queueDiscovery {
-	d := &queueDiscovery{eventQueue: eventQueue{now: 1000}, kind: kind, work: round / Millis(fleet), draw: rand.New(rand.NewPCG(seed, 55))}
+func newQueueDiscovery(policy queuePolicy, fleet int, round Millis, seed uint64) *queueDiscovery {
+	d := &queueDiscovery{eventQueue: eventQueue{now: 1000}, policy: policy, work: round / Millis(fleet), rng: rand.New(rand.NewPCG(seed, 55))}
 	for range fleet {
 		p := &queueProcess{Outgoing: discardOutgoing{}, d: d}
 		d.processes = append(d.processes, p)
-		p.b = New(Terms{Seed: d.draw.Uint64(), Fleet: fleet, PullList: true, HasList: true, AskWithin: 10000, MaxListWait: 1200,
+		p.b = New(Terms{Seed: d.rng.Uint64(), Fleet: fleet, PullList: true, HasList: true, AskWithin: 10000, MaxListWait: 1200,
 			Notified: NotificationBounds{Reached: 6000, Moved: 4000, Ended: 2000}}, p, d.now)
 	}
 	return d
 }
 
 // heardAfter plays on for a minute and tells how long after a moment each process heard its list; infinite for never.
-func (d *queueDiscovery) heardAfter(from Millis) (took []Millis) {
+func (d *queueDiscovery) receiveDelays(from Millis) (delays []Millis) {
 	d.runUntil(from + 60000)
 	for _, p := range d.processes {
-		if !p.heard {
-			p.heardAt = Millis(math.Inf(1))
+		if !p.received {
+			p.receivedAt = Millis(math.Inf(1))
 		}
-		took = append(took, p.heardAt-from)
+		delays = append(delays, p.receivedAt-from)
 	}
-	return took
+	return delays
 }
 
 // endWatches ends all watches; discovery stays up.
 func (d *queueDiscovery) endWatches() {
 	d.calls = 0
 	for _, p := range d.processes {
-		p.heard = false
+		p.received = false
 		p.b.SetNow(d.now)
-		p.b.ListLost(0, false)
+		p.b.WatchEnded(0, false)
 	}
 }
 
 // settle lets all processes hear their lists.
-func (d *queueDiscovery) settle() {
-	d.spoilt = 0
-	d.heardAfter(d.now + 60000)
+func (d *queueDiscovery) receiveAllLists() {
+	d.truncatedShare = 0
+	d.receiveDelays(d.now + 60000)
 }
 
 // goDown ends all watches and refuses all calls for outageLasts; it returns when discovery is back.
-func (d *queueDiscovery) goDown() Millis {
+func (d *queueDiscovery) simulateOutage() Millis {
 	d.down, d.waiting = true, nil
 	d.endWatches()
-	d.runUntil(d.now + outageLasts)
+	d.runUntil(d.now + outageDuration)
 	d.down, d.calls = false, 0
 	return d.now
 }
 
 // capacityRun is what a fleet's calls came to.
-type capacityRun struct {
+type capacityResult struct {
 	late, never, processes, calls int
-	last                          Millis
+	lastDelay                     Millis
 }
 
-func (r *capacityRun) add(took []Millis, bound Millis, calls int) {
-	for _, t := range took {
+func (r *capacityResult) add(delays []Millis, bound Millis, calls int) {
+	for _, t := range delays {
 		r.processes++
 		switch {
 		case math.IsInf(float64(t), 1):
@@ -244,33 +244,33 @@
 			r.late++
 		}
 		if !math.IsInf(float64(t), 1) {
-			r.last = max(r.last, t)
+			r.lastDelay = max(r.lastDelay, t)
 		}
 	}
 	r.calls += calls
 }
 
-func (r *capacityRun) String() string {
-	return fmt.Sprintf("%d of %d late, %d never, last after %.1f s, %.1f calls each", r.late, r.processes, r.never, r.last/1000, float64(r.calls)/float64(r.processes))
+func (r *capacityResult) String() string {
+	return fmt.Sprintf("%d of %d late, %d never, last after %.1f s, %.1f calls each", r.late, r.processes, r.never, r.lastDelay/1000, float64(r.calls)/float64(r.processes))
 }
 
 // capacityRuns are those of a fleet that starts together, whose discovery is taken away and brought back, and whose watches end.
-type capacityRuns struct{ start, back, ended capacityRun }
+type capacityResults struct{ atStart, afterOutage, afterWatchEnd capacityResult }
 
-func playCapacity(kind queueKind, fleet int, round Millis, spoilt float64, seeds int) (r capacityRuns) {
+func simulateCapacity(policy queuePolicy, fleet int, round Millis, truncatedShare float64, seeds int) (r capacityResults) {
 	for seed := range uint64(seeds) {
-		d := newQueueDiscovery(kind, fleet, round, seed)
-		d.spoilt = spoilt
-		r.start.add(d.heardAfter(d.now), 6000+notifiedGrace, d.calls)
-		d.settle()
-		d.spoilt = spoilt
-		from := d.goDown()
-		r.back.add(d.heardAfter(from), 6000+notifiedGrace, d.calls)
-		d.settle()
-		d.spoilt = spoilt
+		d := newQueueDiscovery(policy, fleet, round, seed)
+		d.truncatedShare = truncatedShare
+		r.atStart.add(d.receiveDelays(d.now), 6000+graceAfterBound, d.calls)
+		d.receiveAllLists()
+		d.truncatedShare = truncatedShare
+		from := d.simulateOutage()
+		r.afterOutage.add(d.receiveDelays(from), 6000+graceAfterBound, d.calls)
+		d.receiveAllLists()
+		d.truncatedShare = truncatedShare
 		from = d.now
 		d.endWatches()
-		r.ended.add(d.heardAfter(from), 6000+notifiedGrace, d.calls)
+		r.afterWatchEnd.add(d.receiveDelays(from), 6000+graceAfterBound, d.calls)
 	}
 	return r
 }
@@ -281,22 +281,22 @@
 
 // A whole fleet hears its lists from a discovery that has little or no capacity to spare, at its start and after an outage: in the
 // time that is owed where the work fits into it, and not much later than the work takes where it doesn't.
-func TestCallsLeaveACrowdedDiscoveryItsCapacity(t *testing.T) {
-	for kind := range queueKinds {
+func TestCallsDoNotExhaustTheCapacityOfDiscovery(t *testing.T) {
+	for policy := range queuePolicies {
 		for _, fleet := range []int{5, 40, 100} {
 			for _, round := range []Millis{1000, 3000, 4800, 8000, 12000} {
-				runs := playCapacity(kind, fleet, round, 0, max(120/fleet, 2))
-				name := fmt.Sprintf("%s, fleet of %d, %v ms of work", kind, fleet, round)
+				runs := simulateCapacity(policy, fleet, round, 0, max(120/fleet, 2))
+				name := fmt.Sprintf("%s, fleet of %d, %v ms of work", policy, fleet, round)
 				for _, run := range []struct {
-					name string
-					of   capacityRun
-				}{{"at the start", runs.start}, {"after an outage", runs.back}, {"after the watches' end", runs.ended}} {
+					name   string
+					result capacityResult
+				}{{"at the start", runs.atStart}, {"after an outage", runs.afterOutage}, {"after the watches' end", runs.afterWatchEnd}} {
 					if round <= 4800 {
-						assert.Zero(t, run.of.late, "%s, %s: %v", name, run.name, &run.of)
+						assert.Zero(t, run.result.late, "%s, %s: %v", name, run.name, &run.result)
 					}
-					assert.Zero(t, run.of.never, "%s, %s: %v", name, run.name, &run.of)
-					lostPlace := round / Millis(fleet)
-					assert.LessOrEqual(t, run.of.last, round*1.25+lostPlace+capacityMargin, "%s, %s: %v", name, run.name, &run.of)
+					assert.Zero(t, run.result.never, "%s, %s: %v", name, run.name, &run.result)
+					lostPosition := round / Millis(fleet)
+					assert.LessOrEqual(t, run.result.lastDelay, round*1.25+lostPosition+capacityMargin, "%s, %s: %v", name, run.name, &run.result)
 				}
 			}
 		}
@@ -305,17 +305,17 @@
 
 // BenchmarkCallsAtACrowdedDiscovery reports the load at discovery and what comes of it, over the kind of queue, the share of spoilt
 // answers, the fleet's size and the work of one round of its calls: the table of docs/incidents/0017.
-func BenchmarkCallsAtACrowdedDiscovery(b *testing.B) {
-	for kind := range queueKinds {
-		for _, spoilt := range []float64{0, 0.1, 0.3} {
+func BenchmarkCallsToAnOverloadedDiscovery(b *testing.B) {
+	for policy := range queuePolicies {
+		for _, truncatedShare := range []float64{0, 0.1, 0.3} {
 			for _, fleet := range []int{5, 40, 100} {
 				for _, round := range []Millis{1000, 3000, 4800, 6000, 8000} {
-					b.Run(fmt.Sprintf("%s/spoilt=%g/fleet=%d/round=%v", kind, spoilt, fleet, round), func(b *testing.B) {
+					b.Run(fmt.Sprintf("%s/spoilt=%g/fleet=%d/round=%v", policy, truncatedShare, fleet, round), func(b *testing.B) {
 						for b.Loop() {
-							runs := playCapacity(kind, fleet, round, spoilt, max(200/fleet, 2))
-							runs.start.report(b, "start")
-							runs.back.report(b, "back")
-							runs.ended.report(b, "ended")
+							runs := simulateCapacity(policy, fleet, round, truncatedShare, max(200/fleet, 2))
+							runs.atStart.report(b, "start")
+							runs.afterOutage.report(b, "back")
+							runs.afterWatchEnd.report(b, "ended")
 						}
 					})
 				}
@@ -324,10 +324,10 @@
 	}
 }
 
-func (r *capacityRun) report(b *testing.B, when string) {
+func (r *capacityResult) report(b *testing.B, when string) {
 	processes := float64(r.processes)
 	b.ReportMetric(100*float64(r.late)/processes, when+"-late-%")
 	b.ReportMetric(100*float64(r.never)/processes, when+"-never-%")
-	b.ReportMetric(float64(r.last)/1000, when+"-last-s")
+	b.ReportMetric(float64(r.lastDelay)/1000, when+"-last-s")
 	b.ReportMetric(float64(r.calls)/processes, when+"-calls/process")
 }
--- a/logic/discovery_crowd_test.go
+++ b/logic/discovery_crowd_test.go
@@ -9,76 +9,76 @@
 
 // crowdedDiscovery answers calls in turn and does the work of those that were given up too. It refuses at once what would wait
 // for longer than its patience.
-type crowdedDiscovery struct {
+type overloadedDiscovery struct {
 	eventQueue
-	free      Millis // when its queue is done
-	work      Millis // of a call
-	patience  Millis
-	sidecars  []*crowdSidecar
-	faultWork bool // faulty answers cost their work too
+	busyUntil      Millis // when its queue is done
+	work           Millis // of a call
+	maxWait        Millis
+	sidecars       []*overloadSidecar
+	faultsCostWork bool // faulty answers cost their work too
 }
 
 // crowdSidecar is one of its callers.
-type crowdSidecar struct {
+type overloadSidecar struct {
 	Outgoing
-	d       *crowdedDiscovery
-	b       *Balancer
-	draw    *rand.Rand
-	moves   int
-	faulty  int // calls to come that meet a fault
-	heard   bool
-	heardAt Millis
-	since   Millis // of the event after which it has to hear a list
+	d          *overloadedDiscovery
+	b          *Balancer
+	rng        *rand.Rand
+	moveCount  int
+	faultsLeft int // calls to come that meet a fault
+	received   bool
+	receivedAt Millis
+	eventAt    Millis // of the event after which it has to hear a list
 }
 
-func (s *crowdSidecar) SetTimer(after Millis, t TimerID) {
+func (s *overloadSidecar) SetTimer(after Millis, t TimerID) {
 	if t == 1 {
 		s.d.schedule(after, func() { s.b.SetNow(s.d.now); s.b.TimerFired(1) })
 	}
 }
 
-func (s *crowdSidecar) fail(moves int, pause Millis) {
+func (s *overloadSidecar) failAfter(moveCount int, pause Millis) {
 	s.d.schedule(pause, func() {
-		if moves == s.moves && !s.heard {
+		if moveCount == s.moveCount && !s.received {
 			s.b.SetNow(s.d.now)
-			s.b.ListFailed()
+			s.b.ListCallFailed()
 		}
 	})
 }
 
-func (s *crowdSidecar) Watch() {
-	d, began, moves := s.d, s.d.now, s.moves
-	if s.faulty > 0 {
-		s.faulty--
-		if d.faultWork {
-			d.free = max(d.free, d.now) + d.work
+func (s *overloadSidecar) Watch() {
+	d, startedAt, moveCount := s.d, s.d.now, s.moveCount
+	if s.faultsLeft > 0 {
+		s.faultsLeft--
+		if d.faultsCostWork {
+			d.busyUntil = max(d.busyUntil, d.now) + d.work
 		}
-		s.fail(moves, []Millis{2, 2, 4000, 600, 3}[s.draw.IntN(5)])
+		s.failAfter(moveCount, []Millis{2, 2, 4000, 600, 3}[s.rng.IntN(5)])
 		return
 	}
-	if d.free-d.now > d.patience {
-		s.fail(moves, 2)
+	if d.busyUntil-d.now > d.maxWait {
+		s.failAfter(moveCount, 2)
 		return
 	}
-	d.free = max(d.free, d.now) + d.work
-	d.schedule(d.free-d.now, func() {
-		if s.heard || d.now-began > 4000 {
+	d.busyUntil = max(d.busyUntil, d.now) + d.work
+	d.schedule(d.busyUntil-d.now, func() {
+		if s.received || d.now-startedAt > 4000 {
 			return
 		}
 		s.b.SetNow(d.now)
 		s.b.ListEnds(false)
-		if moves == s.moves { // an earlier discovery's list is taken, but it is no end of the calls
-			s.heard, s.heardAt = true, d.now
-			s.b.ListHeard(d.now - began)
+		if moveCount == s.moveCount { // an earlier discovery's list is taken, but it is no end of the calls
+			s.received, s.receivedAt = true, d.now
+			s.b.ListReceived(d.now - startedAt)
 		}
 	})
-	s.fail(moves, 4000)
+	s.failAfter(moveCount, 4000)
 }
 
-func newCrowd(fleet int, seed uint64) *crowdedDiscovery {
-	d := &crowdedDiscovery{eventQueue: eventQueue{now: 1000}, work: Millis(1640 / float64(fleet)), patience: 3000}
+func newOverloadedDiscovery(fleet int, seed uint64) *overloadedDiscovery {
+	d := &overloadedDiscovery{eventQueue: eventQueue{now: 1000}, work: Millis(1640 / float64(fleet)), maxWait: 3000}
 	for n := range fleet {
-		s := &crowdSidecar{Outgoing: discardOutgoing{}, d: d, draw: rand.New(rand.NewPCG(seed, uint64(n)))}
+		s := &overloadSidecar{Outgoing: discardOutgoing{}, d: d, rng: rand.New(rand.NewPCG(seed, uint64(n)))}
 		s.b = New(Terms{Seed: seed<<10 + uint64(n), Fleet: fleet, PullList: true, AskWithin: 10000, MaxListWait: 1200,
 			Notified: NotificationBounds{Reached: 6000, Moved: 4000, Ended: 2000}}, s, d.now)
 		d.sidecars = append(d.sidecars, s)
@@ -89,68 +89,68 @@
 
 // reconfigure has every process get four new configurations within 1.6 s, each with a discovery whose first answers are faulty;
 // it returns how long after the last of them each heard a list.
-func (d *crowdedDiscovery) reconfigure(faults int) (took []Millis) {
+func (d *overloadedDiscovery) reconfigure(faults int) (delays []Millis) {
 	for n, s := range d.sidecars {
 		for _, at := range []Millis{0, 300, 700, 1600} {
 			d.schedule(Millis(400*n%2400)+at, func() {
-				s.moves++
-				s.heard, s.faulty, s.since = false, faults, d.now
+				s.moveCount++
+				s.received, s.faultsLeft, s.eventAt = false, faults, d.now
 				s.b.SetNow(d.now)
-				s.b.ListMoved()
+				s.b.DiscoveryMoved()
 			})
 		}
 	}
-	return d.heardAfter()
+	return d.receiveDelays()
 }
 
 // endWatches ends the watches of all processes; the first call of each meets so many faults.
-func (d *crowdedDiscovery) endWatches(faults int) []Millis {
+func (d *overloadedDiscovery) endWatches(faults int) []Millis {
 	for n, s := range d.sidecars {
 		d.schedule(Millis(11*n%100), func() {
-			s.heard, s.faulty, s.since = false, faults, d.now
+			s.received, s.faultsLeft, s.eventAt = false, faults, d.now
 			s.b.SetNow(d.now)
-			s.b.ListLost(0, false)
+			s.b.WatchEnded(0, false)
 		})
 	}
-	return d.heardAfter()
+	return d.receiveDelays()
 }
 
-func (d *crowdedDiscovery) heardAfter() (took []Millis) {
+func (d *overloadedDiscovery) receiveDelays() (delays []Millis) {
 	d.runUntil(d.now + 30000)
 	for _, s := range d.sidecars {
-		if !s.heard {
-			s.heardAt = d.now
+		if !s.received {
+			s.receivedAt = d.now
 		}
-		took = append(took, s.heardAt-s.since)
+		delays = append(delays, s.receivedAt-s.eventAt)
 	}
-	return took
+	return delays
 }
 
 // Discovery is one service for a whole fleet, with no more capacity than the fleet needs. Calls that a process makes for fear of a
 // fault must not crowd out those of the others.
-func TestAWholeFleetHearsItsListsInTime(t *testing.T) {
+func TestAFleetReceivesItsListsInTimeFromADiscoveryAtCapacity(t *testing.T) {
 	for _, c := range []struct {
-		faults    int
-		faultWork bool    // discovery does the work of faulty answers too
-		late      float64 // share of the processes, at most
-	}{{faults: 0}, {faults: 2}, {faults: 3}, {faults: 1, faultWork: true, late: 0.05}} {
+		faults         int
+		faultsCostWork bool    // discovery does the work of faulty answers too
+		maxLateShare   float64 // share of the processes, at most
+	}{{faults: 0}, {faults: 2}, {faults: 3}, {faults: 1, faultsCostWork: true, maxLateShare: 0.05}} {
 		for _, fleet := range []int{6, 12, 30, 300} {
 			late, all := 0, 0
 			for seed := range uint64(max(1200/fleet/10, 4)) {
-				d := newCrowd(fleet, seed)
-				d.faultWork = c.faultWork
-				for _, took := range d.reconfigure(c.faults) {
-					if all++; took > 4500 {
+				d := newOverloadedDiscovery(fleet, seed)
+				d.faultsCostWork = c.faultsCostWork
+				for _, delay := range d.reconfigure(c.faults) {
+					if all++; delay > 4500 {
 						late++
 					}
 				}
-				for _, took := range d.endWatches(c.faults / 2) {
-					if all++; took > 6000 {
+				for _, delay := range d.endWatches(c.faults / 2) {
+					if all++; delay > 6000 {
 						late++
 					}
 				}
 			}
-			assert.LessOrEqual(t, float64(late)/float64(all), c.late, "fleet of %d, %d faults, they cost work: %v", fleet, c.faults, c.faultWork)
+			assert.LessOrEqual(t, float64(late)/float64(all), c.maxLateShare, "fleet of %d, %d faults, they cost work: %v", fleet, c.faults, c.faultsCostWork)
 		}
 	}
 }
--- a/logic/discovery_pacing_test.go
+++ b/logic/discovery_pacing_test.go
@@ -15,12 +15,12 @@
 type answerFault int
 
 const (
-	refusedAnswer answerFault = iota // turned away at once
-	brokenAnswer                     // the connection ends at once
-	lateBreak                        // the connection ends when its turn has come
-	silentAnswer                     // taken in its turn, and never answered
-	halfAnswer                       // a head or half a list in its turn, then silence, which the sidecar gives up after halfAnswerWait
-	mixedAnswers                     // each one of the above, by chance
+	refusedAnswer    answerFault = iota // turned away at once
+	brokenAnswer                        // the connection ends at once
+	lateBrokenAnswer                    // the connection ends when its turn has come
+	missingAnswer                       // taken in its turn, and never answered
+	partialAnswer                       // a head or half a list in its turn, then silence, which the sidecar gives up after halfAnswerWait
+	mixedFaults                         // each one of the above, by chance
 	answerFaults
 )
 
@@ -32,11 +32,11 @@
 type pacingEvent int
 
 const (
-	watchesEnd pacingEvent = iota
-	backAfter4
-	backAfter10
+	watchEnds pacingEvent = iota
+	shortOutageEnds
+	longOutageEnds
 	newConfiguration
-	configurations // four of them within configurationsLast; the last counts
+	configurationSeries // four of them within configurationsLast; the last counts
 	pacingEvents
 )
 
@@ -48,41 +48,41 @@
 	shortOutage Millis = 4000
 	longOutage  Millis = 10000
 	// boundSlack is what the rules leave beyond a bound: the grace and the slack on sockets.
-	boundSlack         Millis = 500
-	halfAnswerWait     Millis = 500
-	refusalTakes       Millis = 2
-	breakTakes         Millis = 3
-	cheapWork          Millis = 3 // of a call to a discovery that is not crowded
-	neverAfter         Millis = 20000
-	moveSpread         Millis = 1000 // over which the processes get a new configuration
-	endSpread          Millis = 50   // over which their watches end
-	configurationsLast Millis = 1600
+	boundSlack              Millis = 500
+	partialAnswerTimeout    Millis = 500
+	refusalDelay            Millis = 2
+	breakDelay              Millis = 3
+	lightWork               Millis = 3 // of a call to a discovery that is not crowded
+	observationTime         Millis = 20000
+	moveSpread              Millis = 1000 // over which the processes get a new configuration
+	endSpread               Millis = 50   // over which their watches end
+	configurationSeriesSpan Millis = 1600
 	// processesACell is the least number of processes whose calls a cell sums up.
-	processesACell = 30
+	minProcessesPerCell = 30
 )
 
 // pacingCell is one world that a policy is judged in.
 type pacingCell struct {
-	queue        queueKind
-	subscription bool // a refusal ends all open calls of its process, whatever the queue
-	cheapBefore  bool // calls took cheapWork before the event
-	callers      int
-	round        Millis // work of one call of each process
-	event        pacingEvent
-	fault        answerFault
-	inARow       int // faulty answers to each process
+	policy        queuePolicy
+	subscription  bool // a refusal ends all open calls of its process, whatever the queue
+	lightBefore   bool // calls took cheapWork before the event
+	callers       int
+	round         Millis // work of one call of each process
+	event         pacingEvent
+	fault         answerFault
+	faultyAnswers int // faulty answers to each process
 }
 
 func (c pacingCell) String() string {
-	return fmt.Sprintf("%d,%v,%v,%d,%v,%v,%v,%d", c.queue, c.subscription, c.cheapBefore, c.callers, c.round, c.event, c.fault, c.inARow)
+	return fmt.Sprintf("%d,%v,%v,%d,%v,%v,%v,%d", c.policy, c.subscription, c.lightBefore, c.callers, c.round, c.event, c.fault, c.faultyAnswers)
 }
 
 // bound is the time after the event within which a list has to be heard.
 func (c pacingCell) bound() Millis {
 	switch {
-	case c.event == newConfiguration || c.event == configurations:
+	case c.event == newConfiguration || c.event == configurationSeries:
 		return 4000 + boundSlack
-	case c.event == watchesEnd && c.inARow <= 1:
+	case c.event == watchEnds && c.faultyAnswers <= 1:
 		return 2000 + boundSlack
 	}
 	return 6000 + boundSlack
@@ -92,7 +92,7 @@
 type pacedDiscovery struct {
 	eventQueue
 	pacingCell
-	draw      *rand.Rand
+	rng       *rand.Rand
 	work      Millis // of a call
 	down      bool
 	busy      bool
@@ -102,44 +102,44 @@
 
 // pacedCall is a call in its queue.
 type pacedCall struct {
-	process *pacedProcess
-	came    Millis
-	fault   answerFault // answerFaults for none
-	ended   bool        // nobody waits for its answer any more
-	moot    bool        // dropped: costs no work
+	process   *pacedProcess
+	arrivedAt Millis
+	fault     answerFault // answerFaults for none
+	ended     bool        // nobody waits for its answer any more
+	dropped   bool        // dropped: costs no work
 }
 
 // pacedProcess is one of its callers.
 type pacedProcess struct {
 	Outgoing
-	d       *pacedDiscovery
-	b       *Balancer
-	open    []*pacedCall
-	faulty  int // answers to come
-	calls   int
-	refused int // calls while discovery was down
-	heard   bool
-	heardAt Millis
-	since   Millis   // of the event
-	lag     []Millis // of each list behind the watch's end before it
-	pending []Millis // when changes that are not heard yet have to be
-	late    int      // changes that were heard after that
+	d                *pacedDiscovery
+	b                *Balancer
+	open             []*pacedCall
+	faultsLeft       int // answers to come
+	calls            int
+	callsWhileDown   int // calls while discovery was down
+	received         bool
+	receivedAt       Millis
+	eventAt          Millis   // of the event
+	lags             []Millis // of each list behind the watch's end before it
+	pendingDeadlines []Millis // when changes that are not heard yet have to be
+	lateChanges      int      // changes that were heard after that
 }
 
 func newPacedDiscovery(cell pacingCell, seed uint64) *pacedDiscovery {
-	d := &pacedDiscovery{eventQueue: eventQueue{now: 1000}, pacingCell: cell, draw: rand.New(rand.NewPCG(seed, 61)),
+	d := &pacedDiscovery{eventQueue: eventQueue{now: 1000}, pacingCell: cell, rng: rand.New(rand.NewPCG(seed, 61)),
 		work: cell.round / Millis(cell.callers)}
 	before := d.work
-	if cell.cheapBefore {
-		before = cheapWork
+	if cell.lightBefore {
+		before = lightWork
 	}
 	for range cell.callers {
-		p := &pacedProcess{Outgoing: discardOutgoing{}, d: d, heard: true}
-		p.b = New(Terms{Seed: d.draw.Uint64(), Fleet: cell.callers, PullList: true, HasList: true, AskWithin: 10000, MaxListWait: 1200,
+		p := &pacedProcess{Outgoing: discardOutgoing{}, d: d, received: true}
+		p.b = New(Terms{Seed: d.rng.Uint64(), Fleet: cell.callers, PullList: true, HasList: true, AskWithin: 10000, MaxListWait: 1200,
 			Notified: NotificationBounds{Reached: 6000, Moved: 4000, Ended: 2000}}, p, d.now)
 		p.b.ListEnds(false) // one list at the start of the fleet, one at a quiet time
-		p.b.ListHeard(before * Millis(1+d.draw.IntN(cell.callers)))
-		p.b.ListHeard(before)
+		p.b.ListReceived(before * Millis(1+d.rng.IntN(cell.callers)))
+		p.b.ListReceived(before)
 		d.processes = append(d.processes, p)
 	}
 	d.runUntil(d.now + 20000)
@@ -155,33 +155,33 @@
 // Watch makes a call, as the sidecar does: the newest of too many open ones gives way.
 func (p *pacedProcess) Watch() {
 	d := p.d
-	if p.heard {
+	if p.received {
 		return
 	}
-	if len(p.open) >= OpenCallsMost {
-		p.close(p.open[len(p.open)-1])
+	if len(p.open) >= MaxOpenCalls {
+		p.closeCall(p.open[len(p.open)-1])
 	}
 	p.calls++
-	c := &pacedCall{process: p, came: d.now, fault: answerFaults}
+	c := &pacedCall{process: p, arrivedAt: d.now, fault: answerFaults}
 	p.open = append(p.open, c)
-	switch crowded := d.queue == refusingAtOnce && Millis(len(d.waiting))*d.work > queuePatience; {
+	switch crowded := d.policy == refuseImmediately && Millis(len(d.waiting))*d.work > queueWaitLimit; {
 	case d.down:
-		d.schedule(refusalTakes, func() { d.refuse(c, d.subscription) })
+		d.schedule(refusalDelay, func() { d.refuse(c, d.subscription) })
 		return
 	case crowded:
-		d.schedule(refusalTakes, func() { d.refuse(c, true) })
+		d.schedule(refusalDelay, func() { d.refuse(c, true) })
 		return
-	case p.faulty > 0:
-		p.faulty--
-		if c.fault = d.fault; c.fault == mixedAnswers {
-			c.fault = answerFault(d.draw.IntN(int(mixedAnswers)))
+	case p.faultsLeft > 0:
+		p.faultsLeft--
+		if c.fault = d.fault; c.fault == mixedFaults {
+			c.fault = answerFault(d.rng.IntN(int(mixedFaults)))
 		}
 	}
 	switch c.fault {
 	case refusedAnswer:
-		d.schedule(refusalTakes, func() { d.refuse(c, d.subscription) })
+		d.schedule(refusalDelay, func() { d.refuse(c, d.subscription) })
 	case brokenAnswer:
-		d.schedule(breakTakes, func() { d.fail(c) })
+		d.schedule(breakDelay, func() { d.fail(c) })
 	default:
 		d.enqueue(c)
 	}
@@ -189,11 +189,11 @@
 
 func (d *pacedDiscovery) enqueue(c *pacedCall) {
 	d.waiting = append(d.waiting, c)
-	d.schedule(AnswerPatience, func() { d.fail(c) })
-	if d.queue == droppingWaits {
-		d.schedule(queuePatience, func() {
+	d.schedule(AnswerTimeout, func() { d.fail(c) })
+	if d.policy == dropAfterWait {
+		d.schedule(queueWaitLimit, func() {
 			if at := slices.Index(d.waiting, c); at > 0 || at == 0 && !d.busy {
-				c.moot = true
+				c.dropped = true
 				d.refuse(c, d.subscription)
 			}
 		})
@@ -204,7 +204,7 @@
 }
 
 // close takes a call from the open ones; false if it is none.
-func (p *pacedProcess) close(c *pacedCall) bool {
+func (p *pacedProcess) closeCall(c *pacedCall) bool {
 	if c.ended {
 		return false
 	}
@@ -214,9 +214,9 @@
 }
 
 func (d *pacedDiscovery) fail(c *pacedCall) {
-	if c.process.close(c) {
+	if c.process.closeCall(c) {
 		c.process.b.SetNow(d.now)
-		c.process.b.ListFailed()
+		c.process.b.ListCallFailed()
 	}
 }
 
@@ -226,16 +226,16 @@
 		calls = append(calls, c.process.open...)
 	}
 	for _, c := range calls {
-		if c.process.close(c) {
+		if c.process.closeCall(c) {
 			c.process.b.SetNow(d.now)
-			c.process.b.ListRefused(d.now-c.came, false)
+			c.process.b.ListCallRefused(d.now-c.arrivedAt, false)
 		}
 	}
 }
 
 func (d *pacedDiscovery) serve() {
 	d.busy = false
-	for len(d.waiting) > 0 && d.waiting[0].moot {
+	for len(d.waiting) > 0 && d.waiting[0].dropped {
 		d.waiting = d.waiting[1:]
 	}
 	if len(d.waiting) == 0 || d.down {
@@ -255,103 +255,103 @@
 func (d *pacedDiscovery) answer(c *pacedCall) {
 	p := c.process
 	switch {
-	case c.ended || c.fault == silentAnswer:
+	case c.ended || c.fault == missingAnswer:
 		return
-	case c.fault == lateBreak:
+	case c.fault == lateBrokenAnswer:
 		d.fail(c)
 		return
-	case c.fault == halfAnswer:
-		d.schedule(halfAnswerWait, func() { d.fail(c) })
+	case c.fault == partialAnswer:
+		d.schedule(partialAnswerTimeout, func() { d.fail(c) })
 		return
 	}
-	p.heard, p.heardAt = true, d.now
+	p.received, p.receivedAt = true, d.now
 	for _, other := range slices.Clone(p.open) {
-		p.close(other)
+		p.closeCall(other)
 	}
-	for _, bound := range p.pending {
+	for _, bound := range p.pendingDeadlines {
 		if d.now > bound {
-			p.late++
+			p.lateChanges++
 		}
 	}
-	p.pending, p.lag = p.pending[:0], append(p.lag, d.now-p.since)
+	p.pendingDeadlines, p.lags = p.pendingDeadlines[:0], append(p.lags, d.now-p.eventAt)
 	p.b.SetNow(d.now)
 	p.b.ListEnds(false)
-	p.b.ListHeard(d.now - c.came)
+	p.b.ListReceived(d.now - c.arrivedAt)
 }
 
 // lose ends a process's watch.
-func (p *pacedProcess) lose() {
-	p.heard, p.since, p.faulty = false, p.d.now, p.d.inARow
+func (p *pacedProcess) endWatch() {
+	p.received, p.eventAt, p.faultsLeft = false, p.d.now, p.d.faultyAnswers
 	p.b.SetNow(p.d.now)
-	p.b.ListLost(0, false)
+	p.b.WatchEnded(0, false)
 }
 
-func (p *pacedProcess) move() {
-	p.heard, p.since, p.faulty = false, p.d.now, p.d.inARow
+func (p *pacedProcess) moveDiscovery() {
+	p.received, p.eventAt, p.faultsLeft = false, p.d.now, p.d.faultyAnswers
 	for len(p.open) > 0 {
-		p.close(p.open[0]) // the list of an earlier discovery ends nothing
+		p.closeCall(p.open[0]) // the list of an earlier discovery ends nothing
 	}
 	p.b.SetNow(p.d.now)
-	p.b.ListMoved()
+	p.b.DiscoveryMoved()
 }
 
 // play has the cell's event happen, and plays on until nobody can be waited for.
-func (d *pacedDiscovery) play() {
+func (d *pacedDiscovery) simulateEvent() {
 	outage := Millis(0)
 	switch d.event {
-	case backAfter4:
+	case shortOutageEnds:
 		outage = shortOutage
-	case backAfter10:
+	case longOutageEnds:
 		outage = longOutage
 	}
 	d.down = outage > 0
 	for _, p := range d.processes {
-		switch first := moveSpread * Millis(d.draw.Float64()); d.event {
-		case configurations:
+		switch first := moveSpread * Millis(d.rng.Float64()); d.event {
+		case configurationSeries:
 			for _, part := range []Millis{0, 0.2, 0.45, 1} {
-				d.schedule(first+part*configurationsLast, p.move)
+				d.schedule(first+part*configurationSeriesSpan, p.moveDiscovery)
 			}
 			continue
 		case newConfiguration:
-			d.schedule(first, p.move)
+			d.schedule(first, p.moveDiscovery)
 			continue
 		}
-		d.schedule(endSpread*Millis(d.draw.Float64()), p.lose)
+		d.schedule(endSpread*Millis(d.rng.Float64()), p.endWatch)
 	}
 	if outage > 0 {
 		d.runUntil(d.now + outage)
 		d.down = false
 		for _, p := range d.processes {
-			p.refused, p.since, p.calls, p.faulty = p.calls, d.now, 0, d.inARow
+			p.callsWhileDown, p.eventAt, p.calls, p.faultsLeft = p.calls, d.now, 0, d.faultyAnswers
 		}
 	}
-	d.runUntil(d.now + neverAfter)
+	d.runUntil(d.now + observationTime)
 }
 
 // pacingResult is what the calls of the processes of some cells came to.
-type pacingResult struct{ processes, late, never, calls, whileDown int }
+type pacingResult struct{ processes, late, never, calls, callsWhileDown int }
 
 func (r *pacingResult) add(o pacingResult) {
 	r.processes, r.late, r.never, r.calls = r.processes+o.processes, r.late+o.late, r.never+o.never, r.calls+o.calls
-	r.whileDown += o.whileDown
+	r.callsWhileDown += o.callsWhileDown
 }
 
 func (r pacingResult) String() string {
 	n := float64(r.processes)
-	return fmt.Sprintf("%.2f,%.2f,%.2f,%.2f", 100*float64(r.late)/n, 100*float64(r.never)/n, float64(r.calls)/n, float64(r.whileDown)/n)
+	return fmt.Sprintf("%.2f,%.2f,%.2f,%.2f", 100*float64(r.late)/n, 100*float64(r.never)/n, float64(r.calls)/n, float64(r.callsWhileDown)/n)
 }
 
-func playPacing(cell pacingCell, seed uint64) (r pacingResult) {
-	for r.processes < processesACell {
+func simulateCell(cell pacingCell, seed uint64) (r pacingResult) {
+	for r.processes < minProcessesPerCell {
 		d := newPacedDiscovery(cell, seed<<32+uint64(r.processes))
-		d.play()
+		d.simulateEvent()
 		for _, p := range d.processes {
 			r.processes++
-			r.calls, r.whileDown = r.calls+p.calls, r.whileDown+p.refused
-			if !p.heard {
+			r.calls, r.callsWhileDown = r.calls+p.calls, r.callsWhileDown+p.callsWhileDown
+			if !p.received {
 				r.never++
 			}
-			if !p.heard || p.heardAt-p.since > cell.bound() {
+			if !p.received || p.receivedAt-p.eventAt > cell.bound() {
 				r.late++
 			}
 		}
@@ -363,26 +363,26 @@
 const pacingWorkers = 2
 
 // forEachCell plays cells and hands on the results in their order.
-func forEachCell[Cell, Result any](cells []Cell, play func(Cell) Result, each func(Cell, Result)) {
+func forEachCell[Cell, Result any](cells []Cell, simulate func(Cell) Result, each func(Cell, Result)) {
 	results := make([]Result, len(cells))
-	var working sync.WaitGroup
+	var workers sync.WaitGroup
 	for first := range pacingWorkers {
-		working.Go(func() {
+		workers.Go(func() {
 			for n := first; n < len(cells); n += pacingWorkers {
-				results[n] = play(cells[n])
+				results[n] = simulate(cells[n])
 			}
 		})
 	}
-	working.Wait()
+	workers.Wait()
 	for n, cell := range cells {
 		each(cell, results[n])
 	}
 }
 
 var (
-	pacingCallers = []int{1, 5, 12, 40, 100}
-	pacingFaults  = []int{0, 1, 3, 4, 6, 8} // in a row
-	pacingRounds  = []Millis{0, 500, 1500, 2400, 3000, 4800, 5800}
+	pacingCallers       = []int{1, 5, 12, 40, 100}
+	pacingFaultyAnswers = []int{0, 1, 3, 4, 6, 8} // in a row
+	pacingRounds        = []Millis{0, 500, 1500, 2400, 3000, 4800, 5800}
 )
 
 // pacingCells are the cells of one group.
@@ -390,8 +390,8 @@
 	for _, group.callers = range pacingCallers {
 		for _, group.round = range pacingRounds {
 			for group.fault = range answerFaults {
-				for _, group.inARow = range pacingFaults {
-					if group.inARow > 0 || group.fault == 0 {
+				for _, group.faultyAnswers = range pacingFaultyAnswers {
+					if group.faultyAnswers > 0 || group.fault == 0 {
 						cells = append(cells, group)
 					}
 				}
@@ -407,11 +407,11 @@
 // calls while discovery was down).
 func BenchmarkPacingOfCalls(b *testing.B) {
 	for event := range pacingEvents {
-		for queue := range queueKinds {
+		for policy := range queuePolicies {
 			for _, subscription := range []bool{false, true} {
 				for _, cheapBefore := range []bool{false, true} {
-					group := pacingCell{queue: queue, subscription: subscription, cheapBefore: cheapBefore, event: event}
-					name := fmt.Sprintf("%v/%v/subscription=%v/cheapBefore=%v", event, queue, subscription, cheapBefore)
+					group := pacingCell{policy: policy, subscription: subscription, lightBefore: cheapBefore, event: event}
+					name := fmt.Sprintf("%v/%v/subscription=%v/cheapBefore=%v", event, policy, subscription, cheapBefore)
 					b.Run(name, func(b *testing.B) {
 						for b.Loop() {
 							group.report(b)
@@ -425,32 +425,32 @@
 
 func (c pacingCell) report(b *testing.B) {
 	var all pacingResult
-	by := map[int]pacingResult{}
-	forEachCell(pacingCells(c), func(cell pacingCell) pacingResult { return playPacing(cell, 1) }, func(cell pacingCell, r pacingResult) {
+	byFaults := map[int]pacingResult{}
+	forEachCell(pacingCells(c), func(cell pacingCell) pacingResult { return simulateCell(cell, 1) }, func(cell pacingCell, r pacingResult) {
 		all.add(r)
-		sum := by[cell.inARow]
+		sum := byFaults[cell.faultyAnswers]
 		sum.add(r)
-		by[cell.inARow] = sum
+		byFaults[cell.faultyAnswers] = sum
 		if testing.Verbose() {
 			b.Logf("cell,%v,%v", cell, r)
 		}
 	})
-	for inARow, r := range by {
-		b.ReportMetric(100*float64(r.late)/float64(r.processes), fmt.Sprintf("late-%%-at-%d-faults", inARow))
+	for faultyAnswers, r := range byFaults {
+		b.ReportMetric(100*float64(r.late)/float64(r.processes), fmt.Sprintf("late-%%-at-%d-faults", faultyAnswers))
 	}
 	b.ReportMetric(100*float64(all.late)/float64(all.processes), "late-%")
 	b.ReportMetric(100*float64(all.never)/float64(all.processes), "never-%")
 	b.ReportMetric(float64(all.calls)/float64(all.processes), "calls/process")
-	b.ReportMetric(float64(all.whileDown)/float64(all.processes), "calls-while-down/process")
+	b.ReportMetric(float64(all.callsWhileDown)/float64(all.processes), "calls-while-down/process")
 }
 
 // replacementCell is a fleet whose watches end at each change in place of telling it, while one endpoint after another is replaced.
 type replacementCell struct {
-	queue        queueKind
-	subscription bool
-	work         Millis // of a call
-	endWithin    Millis // of a change
-	inARow       int    // answers that break off behind each watch
+	policy        queuePolicy
+	subscription  bool
+	work          Millis // of a call
+	endWithin     Millis // of a change
+	faultyAnswers int    // answers that break off behind each watch
 }
 
 const (
@@ -462,49 +462,49 @@
 // replacementResult is what its calls came to.
 type replacementResult struct {
 	changes, late, calls int
-	lag                  []Millis // of the lists behind the watches' ends
+	lags                 []Millis // of the lists behind the watches' ends
 }
 
 func (r replacementResult) quantile(q float64) Millis {
-	return r.lag[int(math.Ceil(q*float64(len(r.lag))))-1]
+	return r.lags[int(math.Ceil(q*float64(len(r.lags))))-1]
 }
 
-func playReplacements(cell replacementCell, seeds int) (r replacementResult) {
+func simulateReplacements(cell replacementCell, seeds int) (r replacementResult) {
 	for seed := range uint64(seeds) {
-		d := newPacedDiscovery(pacingCell{queue: cell.queue, subscription: cell.subscription, callers: replacementCallers,
-			round: cell.work * replacementCallers, fault: brokenAnswer, inARow: cell.inARow}, seed+1000)
+		d := newPacedDiscovery(pacingCell{policy: cell.policy, subscription: cell.subscription, callers: replacementCallers,
+			round: cell.work * replacementCallers, fault: brokenAnswer, faultyAnswers: cell.faultyAnswers}, seed+1000)
 		for n := range replacements {
-			d.schedule(replacementSpacing*(Millis(n)+Millis(d.draw.Float64())/2), func() { d.replace(cell.endWithin) })
+			d.schedule(replacementSpacing*(Millis(n)+Millis(d.rng.Float64())/2), func() { d.replaceEndpoint(cell.endWithin) })
 		}
-		d.runUntil(d.now + replacements*replacementSpacing + neverAfter)
+		d.runUntil(d.now + replacements*replacementSpacing + observationTime)
 		for _, p := range d.processes {
 			r.changes += replacements
-			r.late += p.late + len(p.pending)
+			r.late += p.lateChanges + len(p.pendingDeadlines)
 			r.calls += p.calls
-			r.lag = append(r.lag, p.lag...)
+			r.lags = append(r.lags, p.lags...)
 		}
 	}
-	slices.Sort(r.lag)
+	slices.Sort(r.lags)
 	return r
 }
 
 // replace makes a change: each open watch ends soon after it, and it counts as notified a while after that.
-func (d *pacedDiscovery) replace(endWithin Millis) {
+func (d *pacedDiscovery) replaceEndpoint(endWithin Millis) {
 	changed := d.now
 	for _, p := range d.processes {
-		if !p.heard {
-			p.pending = append(p.pending, changed+6000+boundSlack)
+		if !p.received {
+			p.pendingDeadlines = append(p.pendingDeadlines, changed+6000+boundSlack)
 			continue
 		}
-		heardAt := p.heardAt
-		ends := endWithin * Millis(d.draw.Float64())
-		d.schedule(ends, func() {
+		receivedAt := p.receivedAt
+		endsAfter := endWithin * Millis(d.rng.Float64())
+		d.schedule(endsAfter, func() {
 			switch {
-			case p.heard && p.heardAt == heardAt:
-				p.lose()
-				p.pending = append(p.pending, min(changed+6000, d.now+2000)+boundSlack)
-			case !p.heard: // the watch has ended because of another change
-				p.pending = append(p.pending, min(changed+6000, p.since+2000)+boundSlack)
+			case p.received && p.receivedAt == receivedAt:
+				p.endWatch()
+				p.pendingDeadlines = append(p.pendingDeadlines, min(changed+6000, d.now+2000)+boundSlack)
+			case !p.received: // the watch has ended because of another change
+				p.pendingDeadlines = append(p.pendingDeadlines, min(changed+6000, p.eventAt+2000)+boundSlack)
 			}
 		})
 	}
@@ -512,18 +512,18 @@
 
 // BenchmarkReplacementsWithoutWatches is the world of issue 61: the share of changes that are heard late, the calls for a list, and
 // how long behind a watch's end lists are heard.
-func BenchmarkReplacementsWithoutWatches(b *testing.B) {
-	for queue := range queueKinds {
+func BenchmarkReplacementsWhoseChangesEndWatches(b *testing.B) {
+	for policy := range queuePolicies {
 		for _, subscription := range []bool{false, true} {
 			for _, work := range []Millis{30, 50, 60, 70, 100} {
 				for _, endWithin := range []Millis{0, 500, 2500} {
-					for _, inARow := range []int{0, 1} {
-						cell := replacementCell{queue, subscription, work, endWithin, inARow}
-						b.Run(fmt.Sprintf("%v/subscription=%v/work=%v/endWithin=%v/faults=%d", queue, subscription, work, endWithin, inARow), func(b *testing.B) {
+					for _, faultyAnswers := range []int{0, 1} {
+						cell := replacementCell{policy, subscription, work, endWithin, faultyAnswers}
+						b.Run(fmt.Sprintf("%v/subscription=%v/work=%v/endWithin=%v/faults=%d", policy, subscription, work, endWithin, faultyAnswers), func(b *testing.B) {
 							for b.Loop() {
-								r := playReplacements(cell, 10)
+								r := simulateReplacements(cell, 10)
 								b.ReportMetric(100*float64(r.late)/float64(r.changes), "late-%")
-								b.ReportMetric(float64(r.calls)/float64(len(r.lag)), "calls/list")
+								b.ReportMetric(float64(r.calls)/float64(len(r.lags)), "calls/list")
 								b.ReportMetric(float64(r.quantile(0.5)), "median-ms")
 								b.ReportMetric(float64(r.quantile(0.99)), "p99-ms")
 								b.ReportMetric(float64(r.quantile(1)), "last-ms")
@@ -537,12 +537,12 @@
 }
 
 // Where the work of a round leaves room, a change that ends all watches is heard in the time that is owed behind them.
-func TestReplacementsBehindEndedWatchesAreHeard(t *testing.T) {
-	for queue := range queueKinds {
+func TestReplacementsWhoseChangesEndWatchesAreReceivedInTime(t *testing.T) {
+	for policy := range queuePolicies {
 		for _, subscription := range []bool{false, true} {
 			for _, endWithin := range []Millis{0, 2500} {
-				cell := replacementCell{queue: queue, subscription: subscription, work: 30, endWithin: endWithin}
-				r := playReplacements(cell, 3)
+				cell := replacementCell{policy: policy, subscription: subscription, work: 30, endWithin: endWithin}
+				r := simulateReplacements(cell, 3)
 				assert.Zero(t, r.late, "%+v: of %d changes, last after %v", cell, r.changes, r.quantile(1))
 			}
 		}
--- a/logic/drain_queued_test.go
+++ b/logic/drain_queued_test.go
@@ -9,18 +9,18 @@
 )
 
 // Exchanges that wait for room when an endpoint is told to drain, or tried there before, are not sent there when its room comes free.
-func TestQueuedExchangesAreNotSentToADrain(t *testing.T) {
+func TestQueuedExchangesAreNotSentToADrainingEndpoint(t *testing.T) {
 	for _, outcome := range []Outcome{Succeeded, Full, Reset} {
 		b, r := newTestBalancer("ab")
-		out := map[EndpointID][]ExchangeID{}
+		inFlight := map[EndpointID][]ExchangeID{}
 		for n := 0; len(b.queue) < 20 && n < 500; n++ {
 			x := ExchangeID(fmt.Sprint(n))
 			if to := arrive(b, r, x, replayable); to != "" {
-				out[to] = append(out[to], x)
+				inFlight[to] = append(inFlight[to], x)
 			}
 		}
 		require.NotEmpty(t, b.queue)
-		require.NotEmpty(t, out["a"])
+		require.NotEmpty(t, inFlight["a"])
 		b.Listed("a", NotRunning, 0, 0, 0, 1, 0)
 		b.ListEnds(false)
 		for _, line := range r.take("send") {
@@ -28,7 +28,7 @@
 		}
 		sent := 0
 		for _, from := range []EndpointID{"a", "b"} {
-			for _, x := range out[from] {
+			for _, x := range inFlight[from] {
 				b.SetNow(b.now + 5)
 				b.LegEnded(x, 0, outcome, 5, true)
 				for _, line := range r.take("send") {
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -175,7 +175,7 @@
 	b, r := newTestBalancer("")
 	arrive(b, r, "x", replayable)
 	assert.Empty(t, b.exchanges, "answered at once, nothing kept")
-	b.ListFailed()
+	b.ListCallFailed()
 	assert.Len(t, r.take("wake 1 "), 1)
 	b.TimerFired(1)
 	assert.Equal(t, []string{"watch"}, r.take("watch"))
@@ -662,11 +662,11 @@
 		b.rng ^= seed * 0x9e3779b97f4a7c15
 		firstTargets[arrive(b, r, "x", replayable)]++
 		before := b.listBackoff
-		b.ListFailed()
+		b.ListCallFailed()
 		waits[r.take("wake 1 ")[0]] = true
 		assert.Greater(t, b.listBackoff, before)
 		for range 9 {
-			b.ListFailed()
+			b.ListCallFailed()
 		}
 		assert.LessOrEqual(t, 1.5*float64(b.listBackoff), 10000.0/2, "well inside ask-within")
 	}
@@ -685,7 +685,7 @@
 					r := &recorder{}
 					b := New(Terms{Seed: seed, Fleet: fleet, PullList: true, HasList: true, AskWithin: askWithin, MaxListWait: bound}, r, 1000)
 					for range 12 {
-						b.ListFailed()
+						b.ListCallFailed()
 					}
 					unbounded := askWithin * Millis(1+fleetListBackoffRatio*(1-math.Min(fleetMinLimit/float64(fleet), 1))) * maxListBackoffRatio
 					for _, line := range r.take("wake 1 ") {
@@ -1011,7 +1011,7 @@
 			}
 			assertClose(t, float64(c.first), float64(b.listBackoff))
 			for range 9 {
-				b.ListFailed()
+				b.ListCallFailed()
 			}
 			assert.LessOrEqual(t, b.listBackoff, c.most, c.name)
 			assert.Less(t, 1.5*b.listBackoff, Millis(4*10000), "a failed call allows four times ask-within")
--- a/logic/state.go
+++ b/logic/state.go
@@ -273,9 +273,9 @@
 	case t == 0:
 		b.upkeep()
 	case t == 1:
-		b.callDue()
+		b.callTimerFired()
 	case t == leaseTimer:
-		b.reviewLease()
+		b.updateLease()
 	case t&15 == 2 && slot < len(b.slots):
 		x := b.slots[slot]
 		if x.next != nil && x.generation == uint32(t>>8) {
