--- a/internal/sidecar/accept.go
+++ b/internal/sidecar/accept.go
@@ -13,25 +13,25 @@
 
 // acceptPauseFirst is the pause behind the first of several errors of accept, doubled with each up to acceptPauseMost.
 const (
-	acceptPauseFirst = 2 * time.Millisecond
-	acceptPauseMost  = 100 * time.Millisecond
+	minAcceptPause = 2 * time.Millisecond
+	maxAcceptPause = 100 * time.Millisecond
 )
 
 // acceptRetry is a series of errors of accept.
 type acceptRetry struct {
-	counters *Counters
-	log      *zap.Logger
-	pause    time.Duration // of the last error; 0 for none yet
+	counters  *Counters
+	log       *zap.Logger
+	lastPause time.Duration // of the last error; 0 for none yet
 }
 
 // wait notes an error and returns when accept may be tried again. The first of a series is logged.
 func (r *acceptRetry) wait(err error) {
 	r.counters.acceptErrors.Add(1)
-	if r.pause == 0 {
+	if r.lastPause == 0 {
 		r.log.Warn("a connection could not be accepted", zap.Error(err))
 	}
-	r.pause = min(max(2*r.pause, acceptPauseFirst), acceptPauseMost)
-	time.Sleep(r.pause)
+	r.lastPause = min(max(2*r.lastPause, minAcceptPause), maxAcceptPause)
+	time.Sleep(r.lastPause)
 }
 
 // acceptUntilClosed accepts from a listener; its error is that the listener is closed.
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -29,7 +29,7 @@
 
 // console answers staff.
 type console struct {
-	front *front
+	front *clientServer
 	hands *hands.Hands
 	log   *zap.Logger
 	mu    sync.Mutex
@@ -121,7 +121,7 @@
 			s.mu.Unlock()
 		}
 		s.front.counters.consoleCalls.Add(1)
-		hangUpAfter(w)
+		closeAfterAnswer(w)
 		method, do := http.MethodGet, simple[r.URL.Path]
 		if rest, ours := strings.CutPrefix(r.URL.Path, "/endpoints/"); ours {
 			if at := strings.LastIndexByte(rest, '/'); at >= 0 && (rest[at+1:] == "maint" || rest[at+1:] == "ready") {
@@ -142,7 +142,7 @@
 
 // health says yes while this process can serve: its door is open, a list is there, and it is not ending.
 func (s *console) health(w http.ResponseWriter, _ *http.Request) {
-	if !s.front.serves() {
+	if !s.front.servesAlone() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
 	} else if s.front.pair != nil {
 		s.front.pair.assure()
@@ -190,7 +190,7 @@
 	}
 	all.Set("requests", classes)
 	all.Set("attempts", number(attempts))
-	all.Set("in_flight", number(s.front.inHand.Load()))
+	all.Set("in_flight", number(s.front.activeRequests.Load()))
 	all.Set("endpoints_known", number(s.front.counters.endpoints.Load()))
 	all.Set("endpoints_excluded", number(s.front.counters.avoided.Load()))
 	w.Header().Set("Content-Type", "application/json")
@@ -200,7 +200,7 @@
 // confirmed tells whether the loop has come past all that it was told until now.
 func (l *loop) confirmed(within context.Context) bool {
 	done := make(chan struct{})
-	l.postFirst(asked(func(*loop) { close(done) }))
+	l.postUrgent(asked(func(*loop) { close(done) }))
 	select {
 	case <-done:
 		return true
@@ -212,7 +212,7 @@
 // asked is an event that only calls.
 type asked func(l *loop)
 
-func (f asked) happen(l *loop) { f(l) }
+func (f asked) handle(l *loop) { f(l) }
 
 // said is a call by hand on its way to the module.
 type said struct {
@@ -220,13 +220,13 @@
 	out bool
 }
 
-func (e said) happen(l *loop) {
-	l.up.byHand(e.id, e.out)
+func (e said) handle(l *loop) {
+	l.upstream.byHand(e.id, e.out)
 	if e.out {
 		l.module.Drain(e.id)
 	} else {
 		l.module.Undrain(e.id)
 	}
-	l.published = 0 // whoever was told yes may ask for the figures at once
+	l.publishedAt = 0 // whoever was told yes may ask for the figures at once
 	l.publish()
 }
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -19,10 +19,10 @@
 )
 
 // desk is a sidecar's console on loopback.
-func (r *running) desk() string {
+func (r *testSidecar) desk() string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(r, err)
-	s := &console{front: r.front, hands: r.loop.hands, log: zap.NewNop()}
+	s := &console{front: r.front, hands: r.loop.operatorDrains, log: zap.NewNop()}
 	web := s.httpServer()
 	go s.serve(web, ln)
 	r.Cleanup(func() { web.Close() })
@@ -67,9 +67,9 @@
 }
 
 func TestConsoleCalls(t *testing.T) {
-	r := begin(t, known(newStandIn(t, say(fine, true))), withConsole(t.TempDir()))
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(t.TempDir()))
 	desk := r.desk()
-	assert.Eventually(t, r.front.serves, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, r.front.servesAlone, 5*time.Second, time.Millisecond)
 	for _, c := range []struct {
 		method, path string
 		status       int
@@ -84,20 +84,20 @@
 		assert.Equal(t, c.status, status, "%s %s: %s", c.method, c.path, body)
 	}
 	end := time.Now()
-	r.front.until.Store(&end)
+	r.front.shutdownBy.Store(&end)
 	status, _ := call(t, desk, "GET", "/healthcheck")
 	assert.Equal(t, 503, status, "nobody should be sent to a process that ends")
 }
 
 func TestHealthWithoutAList(t *testing.T) {
-	r := begin(t, "null", withConsole(""))
+	r := startSidecar(t, "null", withConsole(""))
 	status, _ := call(t, r.desk(), "GET", "/healthcheck")
 	assert.Equal(t, 503, status)
 }
 
 // Silent callers and half calls, many at once, delay nobody: the oldest gives way.
 func TestSilentCrowdAtTheConsole(t *testing.T) {
-	r := begin(t, known(newStandIn(t, say(fine, true))), withConsole(""))
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(""))
 	desk := r.desk()
 	for n := range 4 * callersMost {
 		c, err := net.Dial("tcp", desk)
@@ -132,21 +132,21 @@
 		}
 		return say(fine, true)(c, q)
 	})
-	r := begin(t, known(s), withConsole(""))
+	r := startSidecar(t, listOf(s), withConsole(""))
 	desk, none := r.desk(), "Content-Length: 0\r\n"
 	for n := range 7 {
-		assert.Equal(t, 200, r.status(ask(fmt.Sprint("look", n), "GET", "look", "")))
+		assert.Equal(t, 200, r.status(requestText(fmt.Sprint("look", n), "GET", "look", "")))
 	}
-	assert.Equal(t, 200, r.status(ask("typed", "POST", "look", none)), "its class, though it is taken for single-use")
-	assert.Equal(t, 502, r.status(ask("bad", "POST", "buy/bad", none)))
-	assert.Equal(t, 503, r.status(ask("full", "POST", "buy/full", none)))
-	assert.Equal(t, 404, r.status(ask("no class", "GET", "sell", "")))
-	assert.Equal(t, 400, r.status(ask("", "GET", "look", "")))
-	r.front.bodyRoom = -1
-	assert.Equal(t, 503, r.status(ask("turned", "GET", "look", "")), "turned away without the module")
-	r.front.bodyRoom = 1 << 20
+	assert.Equal(t, 200, r.status(requestText("typed", "POST", "look", none)), "its class, though it is taken for single-use")
+	assert.Equal(t, 502, r.status(requestText("bad", "POST", "buy/bad", none)))
+	assert.Equal(t, 503, r.status(requestText("full", "POST", "buy/full", none)))
+	assert.Equal(t, 404, r.status(requestText("no class", "GET", "sell", "")))
+	assert.Equal(t, 400, r.status(requestText("", "GET", "look", "")))
+	r.front.maxBodyBytesTotal = -1
+	assert.Equal(t, 503, r.status(requestText("turned", "GET", "look", "")), "turned away without the module")
+	r.front.maxBodyBytesTotal = 1 << 20
 	slow := r.dial()
-	slow.Write([]byte(ask("slow", "POST", "buy/slow", none)))
+	slow.Write([]byte(requestText("slow", "POST", "buy/slow", none)))
 	<-open
 	v := stats(t, desk)
 	assert.Equal(t, 1, v.GetInt("in_flight"))
@@ -174,41 +174,41 @@
 // Out by hand: a leg that still dials sends nothing, the only endpoint's loss is told at once, and a list changes nothing.
 func TestOutByHand(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
-	r := begin(t, known(s), withConsole(t.TempDir()))
+	r := startSidecar(t, listOf(s), withConsole(t.TempDir()))
 	desk := r.desk()
 	say := func(what string) {
 		status, body := insist(t, desk, "POST", "/endpoints/s0/"+what)
 		require.Equal(t, 200, status, body)
 	}
-	assert.Equal(t, 200, r.status(ask("before", "GET", "look", "")))
-	plain, began := r.loop.up.dial, make(chan bool)
+	assert.Equal(t, 200, r.status(requestText("before", "GET", "look", "")))
+	plain, began := r.loop.upstream.dial, make(chan bool)
 	say("maint")
 	assert.Equal(t, 1, stats(t, desk).GetInt("endpoints_excluded"), "the figures know it when the yes is out")
-	assert.False(t, r.loop.up.dropIdle(), "idle connections are closed")
+	assert.False(t, r.loop.upstream.dropIdle(), "idle connections are closed")
 	began2 := time.Now()
-	assert.Equal(t, 503, r.status(ask("nowhere", "GET", "look", "")))
+	assert.Equal(t, 503, r.status(requestText("nowhere", "GET", "look", "")))
 	assert.Less(t, time.Since(began2), 500*time.Millisecond, "at once")
 	whole := inventory{version: 2, full: true, servers: []entry{{id: "s0", addr: s.Addr().String(), running: true}}}
 	for _, i := range []inventory{{version: 1, full: true}, whole} {
 		r.loop.post(listing{inventory: i, fromDisk: true})
-		assert.Equal(t, 503, r.status(ask(fmt.Sprint("listed", i.version), "GET", "look", "")))
+		assert.Equal(t, 503, r.status(requestText(fmt.Sprint("listed", i.version), "GET", "look", "")))
 	}
 	assert.Eventually(t, func() bool { return stats(t, desk).GetInt("endpoints_excluded") == 1 }, 5*time.Second, time.Millisecond)
 	say("ready")
-	assert.Equal(t, 200, r.status(ask("back", "GET", "look", "")))
-	r.loop.up.dropIdle()
-	r.loop.up.dial = nil
+	assert.Equal(t, 200, r.status(requestText("back", "GET", "look", "")))
+	r.loop.upstream.dropIdle()
+	r.loop.upstream.dial = nil
 	done := make(chan bool)
 	r.loop.post(probe(func(*loop) { close(done) }))
 	<-done
-	r.loop.up.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	r.loop.upstream.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		began <- true
 		<-began
 		return plain(ctx, network, addr)
 	}
 	before := s.requests.Load()
 	c := r.dial()
-	c.Write([]byte(ask("dials", "POST", "buy", "Content-Length: 0\r\n")))
+	c.Write([]byte(requestText("dials", "POST", "buy", "Content-Length: 0\r\n")))
 	<-began
 	say("maint")
 	began <- true
@@ -221,18 +221,18 @@
 // A ban that can't be kept holds, and is not said yes to.
 func TestFullDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "not there")
-	r := begin(t, known(newStandIn(t, say(fine, true))), withConsole(dir))
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(dir))
 	desk := r.desk()
 	// an endpoint that is not known yet is answered 404, rightly
-	require.Eventually(t, func() bool { return r.loop.loaded.Load() && r.loop.confirmed(t.Context()) }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.loop.confirmed(t.Context()) }, 5*time.Second, time.Millisecond)
 	status, _ := call(t, desk, "POST", "/endpoints/s0/maint")
 	assert.Equal(t, 503, status)
-	assert.Equal(t, 503, r.status(ask("1", "GET", "look", "")), "it is in force all the same")
+	assert.Equal(t, 503, r.status(requestText("1", "GET", "look", "")), "it is in force all the same")
 }
 
 // A loop that stands still must not keep staff waiting, nor let the console say yes.
 func TestLoopStandsStill(t *testing.T) {
-	r := begin(t, known(newStandIn(t, say(fine, true))), withConsole(t.TempDir()))
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(t.TempDir()))
 	desk, free, held := r.desk(), make(chan bool), make(chan bool)
 	r.loop.post(probe(func(*loop) { held <- true; <-free }))
 	<-held
@@ -242,10 +242,10 @@
 	status, _ = call(t, desk, "GET", "/stats")
 	assert.Equal(t, 200, status)
 	assert.Less(t, time.Since(began), time.Second)
-	assert.True(t, r.loop.up.find("s0").shut.Load(), "nothing new is written to it all the same")
+	assert.True(t, r.loop.upstream.find("s0").shut.Load(), "nothing new is written to it all the same")
 	close(free)
 	assert.Eventually(t, func() bool { return r.loop.confirmed(t.Context()) }, 5*time.Second, time.Millisecond)
-	assert.Equal(t, 503, r.status(ask("1", "GET", "look", "")))
+	assert.Equal(t, 503, r.status(requestText("1", "GET", "look", "")))
 }
 
 func TestConsoleAddress(t *testing.T) {
--- a/internal/sidecar/counters.go
+++ b/internal/sidecar/counters.go
@@ -73,7 +73,7 @@
 var reasonNames = [logic.QueueTimeout + 1]string{"legs", "shed", "door_shut", "no_endpoint", "queue_full", "queue_long"}
 
 // each visits every figure in a fixed order.
-func (c *Counters) each(s *sockets, visit func(name string, n int64)) {
+func (c *Counters) each(s *descriptorLimiter, visit func(name string, n int64)) {
 	for _, f := range []struct {
 		name string
 		n    *atomic.Int64
@@ -103,17 +103,17 @@
 	for w := range c.givenUp {
 		visit("given_up_"+reasonNames[w], c.givenUp[w].Load())
 	}
-	clients, upstream := s.held()
+	clients, upstream := s.connections()
 	visit("sockets_clients", int64(clients))
 	visit("sockets_upstream", int64(upstream))
 }
 
 // Print writes a line a figure.
-func (c *Counters) Print(s *sockets, w io.Writer) {
+func (c *Counters) Print(s *descriptorLimiter, w io.Writer) {
 	c.each(s, func(name string, n int64) { fmt.Fprintln(w, name, n) })
 }
 
-func (c *Counters) fields(s *sockets) (f []zap.Field) {
+func (c *Counters) fields(s *descriptorLimiter) (f []zap.Field) {
 	c.each(s, func(name string, n int64) { f = append(f, zap.Int64(name, n)) })
 	return f
 }
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -23,43 +23,43 @@
 // Two events that cross, each test of this file in the bad order and in no other: docs/crossings.md has the table.
 
 // halt stops the loop and returns when it stands: it has taken all that was queued before, the list of its start too.
-func (r *running) halt() (goOn func()) {
-	there, goOn := r.haltBehind()
-	<-there
-	return goOn
+func (r *testSidecar) stopLoop() (resume func()) {
+	reached, resume := r.stopLoopBehindQueue()
+	<-reached
+	return resume
 }
 
 // haltBehind stops the loop at this place of its queue, behind what is queued already, until it is let go.
-func (r *running) haltBehind() (there chan bool, goOn func()) {
-	gate, there := make(chan bool), make(chan bool)
+func (r *testSidecar) stopLoopBehindQueue() (reached chan bool, resume func()) {
+	gate, reached := make(chan bool), make(chan bool)
 	r.loop.post(probe(func(*loop) {
-		close(there)
+		close(reached)
 		<-gate
 	}))
-	return there, func() { <-there; close(gate) }
+	return reached, func() { <-reached; close(gate) }
 }
 
-func within(t *testing.T, why string, f func() bool) {
+func eventually(t *testing.T, why string, f func() bool) {
 	require.Eventually(t, f, 10*time.Second, time.Millisecond, why)
 }
 
 // gatedDial holds the nth connection between its coming up and its use, whatever becomes of its leg meanwhile.
-func (r *running) gatedDial(nth int64) (up chan bool, goOn func()) {
-	up, gate, plain, n := make(chan bool, 1), make(chan bool), r.loop.up.dial, atomic.Int64{}
-	r.loop.up.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+func (r *testSidecar) holdDial(nth int64) (dialled chan bool, resume func()) {
+	dialled, gate, plain, n := make(chan bool, 1), make(chan bool), r.loop.upstream.dial, atomic.Int64{}
+	r.loop.upstream.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if n.Add(1) != nth {
 			return plain(ctx, network, addr)
 		}
 		c, err := plain(context.Background(), network, addr)
-		up <- true
+		dialled <- true
 		<-gate
 		return c, err
 	}
-	return up, func() { close(gate) }
+	return dialled, func() { close(gate) }
 }
 
 // leave ends a client's connection in one of the ways in which clients leave.
-func leave(c net.Conn, how string) {
+func closeClient(c net.Conn, how string) {
 	if how == "RST" {
 		c.(*net.TCPConn).SetLinger(0)
 	}
@@ -69,36 +69,36 @@
 // A client that leaves while its leg's connection comes up is never sent on, whether legs may be cancelled or not, and
 // whatever stands unread between its request and its end.
 func TestClientLeavesWhileItsLegDials(t *testing.T) {
-	next := ask("next", "GET", "look", "")
+	next := requestText("next", "GET", "look", "")
 	for _, c := range []struct{ name, request, behind string }{
-		{"nothing behind", ask("1", "GET", "look", ""), ""},
-		{"single-use", ask("1", "POST", "buy", "Content-Length: 2\r\n") + "ab", ""},
-		{"another request behind", ask("1", "GET", "look", ""), next},
-		{"half of one", ask("1", "GET", "look", ""), next[:20]},
-		{"more than is kept", ask("1", "GET", "look", ""), strings.Repeat(next, 1000)},
-		{"noise behind", ask("1", "POST", "buy", "Content-Length: 2\r\n") + "ab", "\x00\x01\r\n\r\n"},
-		{"in chunks", ask("1", "POST", "buy", "Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n", ""},
-		{"in chunks, another behind", ask("1", "POST", "buy", "Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n", next},
+		{"nothing behind", requestText("1", "GET", "look", ""), ""},
+		{"single-use", requestText("1", "POST", "buy", "Content-Length: 2\r\n") + "ab", ""},
+		{"another request behind", requestText("1", "GET", "look", ""), next},
+		{"half of one", requestText("1", "GET", "look", ""), next[:20]},
+		{"more than is kept", requestText("1", "GET", "look", ""), strings.Repeat(next, 1000)},
+		{"noise behind", requestText("1", "POST", "buy", "Content-Length: 2\r\n") + "ab", "\x00\x01\r\n\r\n"},
+		{"in chunks", requestText("1", "POST", "buy", "Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n", ""},
+		{"in chunks, another behind", requestText("1", "POST", "buy", "Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n", next},
 	} {
 		for _, how := range []string{"FIN", "RST"} {
-			for _, cancels := range []bool{true, false} {
-				t.Run(fmt.Sprint(c.name, how, cancels), func(t *testing.T) {
+			for _, mayCancel := range []bool{true, false} {
+				t.Run(fmt.Sprint(c.name, how, mayCancel), func(t *testing.T) {
 					t.Parallel()
 					s := newStandIn(t, say(fine, true))
-					r := begin(t, known(s), func(s *Start) { s.terms.MayCancel = cancels })
-					up, goOn := r.gatedDial(1)
+					r := startSidecar(t, listOf(s), func(s *Start) { s.terms.MayCancel = mayCancel })
+					dialled, resume := r.holdDial(1)
 					conn := r.dial()
 					conn.Write([]byte(c.request + c.behind))
-					<-up
-					leave(conn, how)
+					<-dialled
+					closeClient(conn, how)
 					if c.name != "in chunks, another behind" { // whose end is seen by the look before the first byte only
-						within(t, "its leaving is known at once", func() bool { return r.front.counters.left.Load() == 1 })
+						eventually(t, "its leaving is known at once", func() bool { return r.front.counters.left.Load() == 1 })
 					} else {
-						within(t, "it has come", func() bool { return r.front.counters.left.Load() == 1 || r.theOne().look() == ended })
+						eventually(t, "it has come", func() bool { return r.front.counters.left.Load() == 1 || r.onlyClient().peekState() == connEnded })
 					}
-					goOn()
-					within(t, "it is over", func() bool { return r.loop.held.Load()+r.front.handlers.Load() == 0 })
-					within(t, "and its leg too", func() bool { return r.openLegs() == 0 })
+					resume()
+					eventually(t, "it is over", func() bool { return r.loop.unanswered.Load()+r.front.activeHandlers.Load() == 0 })
+					eventually(t, "and its leg too", func() bool { return r.openExchanges() == 0 })
 					assert.Zero(t, s.requests.Load(), "never sent on")
 					assert.EqualValues(t, 1, r.front.counters.left.Load())
 					assert.EqualValues(t, 1, r.front.counters.taken.Load(), "nor what stood behind")
@@ -119,8 +119,8 @@
 			t.Run(fmt.Sprint(c.name, how), func(t *testing.T) {
 				t.Parallel()
 				s := newStandIn(t, say(fine, true))
-				r := begin(t, known(s), func(s *Start) { s.MemoryMB = 1 }) // what is longer than 64 KiB flows
-				up, goOn := r.gatedDial(1)
+				r := startSidecar(t, listOf(s), func(s *Start) { s.MemoryMB = 1 }) // what is longer than 64 KiB flows
+				dialled, resume := r.holdDial(1)
 				conn := r.dial().(*net.TCPConn)
 				conn.SetWriteBuffer(1 << 20)
 				body := strings.Repeat("x", 81920)
@@ -129,19 +129,19 @@
 				}
 				sent := make(chan error, 1)
 				go func() {
-					_, err := conn.Write([]byte(ask("1", "POST", "buy", c.head) + body + c.end))
+					_, err := conn.Write([]byte(requestText("1", "POST", "buy", c.head) + body + c.end))
 					sent <- err
 				}()
-				<-up
+				<-dialled
 				require.NoError(t, <-sent)
-				leave(conn, how)
-				within(t, "its end has come", func() bool {
+				closeClient(conn, how)
+				eventually(t, "its end has come", func() bool {
 					n := r.front.counters
-					return n.badInput.Load()+n.left.Load() == 1 || r.theOne().look() == ended
+					return n.badInput.Load()+n.left.Load() == 1 || r.onlyClient().peekState() == connEnded
 				})
-				goOn()
-				within(t, "it is over", func() bool { return r.loop.held.Load()+r.front.handlers.Load() == 0 })
-				within(t, "and its leg too", func() bool { return r.openLegs() == 0 })
+				resume()
+				eventually(t, "it is over", func() bool { return r.loop.unanswered.Load()+r.front.activeHandlers.Load() == 0 })
+				eventually(t, "and its leg too", func() bool { return r.openExchanges() == 0 })
 				assert.Zero(t, s.requests.Load(), "never sent on")
 			})
 		}
@@ -149,25 +149,25 @@
 }
 
 // patient gives all clients a minute: what happens in these tests waits for no clock.
-func patient(s *Start) {
+func withLongTimeouts(s *Start) {
 	for n := range s.terms.Products {
 		s.terms.Products[n].Abandon, s.terms.Products[n].Expected = 60000, 50000
 	}
 }
 
 // theOne is the only connection of a client.
-func (r *running) theOne() *client {
-	r.front.sockets.mu.Lock()
-	defer r.front.sockets.mu.Unlock()
-	for c := range r.front.sockets.clients {
+func (r *testSidecar) onlyClient() *clientConn {
+	r.front.descriptors.mu.Lock()
+	defer r.front.descriptors.mu.Unlock()
+	for c := range r.front.descriptors.clients {
 		return c
 	}
-	return &client{} // it is gone
+	return &clientConn{} // it is gone
 }
 
-func (r *running) openLegs() int {
+func (r *testSidecar) openExchanges() int {
 	n := make(chan int)
-	r.loop.post(probe(func(l *loop) { n <- len(l.open) }))
+	r.loop.post(probe(func(l *loop) { n <- len(l.exchanges) }))
 	return <-n
 }
 
@@ -181,19 +181,19 @@
 		{"after it was turned away", say("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", false)},
 		{"after a reset", hangUp},
 	} {
-		for _, cancels := range []bool{true, false} {
-			t.Run(fmt.Sprint(c.name, cancels), func(t *testing.T) {
+		for _, mayCancel := range []bool{true, false} {
+			t.Run(fmt.Sprint(c.name, mayCancel), func(t *testing.T) {
 				t.Parallel()
 				s := newStandIn(t, c.first)
-				r := begin(t, known(s, s, s, s), func(s *Start) { s.terms.MayCancel = cancels })
-				up, goOn := r.gatedDial(2)
+				r := startSidecar(t, listOf(s, s, s, s), func(s *Start) { s.terms.MayCancel = mayCancel })
+				dialled, resume := r.holdDial(2)
 				conn := r.dial()
-				conn.Write([]byte(ask("1", "GET", "look", "")))
-				<-up
-				leave(conn, "FIN")
-				within(t, "its leaving is known", func() bool { return r.front.counters.left.Load() == 1 })
-				goOn()
-				within(t, "it is over", func() bool { return r.openLegs() == 0 })
+				conn.Write([]byte(requestText("1", "GET", "look", "")))
+				<-dialled
+				closeClient(conn, "FIN")
+				eventually(t, "its leaving is known", func() bool { return r.front.counters.left.Load() == 1 })
+				resume()
+				eventually(t, "it is over", func() bool { return r.openExchanges() == 0 })
 				assert.EqualValues(t, 1, s.requests.Load(), "the first only")
 			})
 		}
@@ -205,97 +205,97 @@
 func TestClientLeftBeforeTheLoopKnows(t *testing.T) {
 	for _, how := range []string{"FIN", "RST"} {
 		s := newStandIn(t, say(fine, true))
-		r := begin(t, known(s), patient)
-		first := r.halt()
+		r := startSidecar(t, listOf(s), withLongTimeouts)
+		resumeFirst := r.stopLoop()
 		conn := r.dial()
-		conn.Write([]byte(strings.Replace(ask("1", "GET", "look", ""), "900m", "60000m", 1)))
-		within(t, "it is queued", func() bool { return len(r.loop.queue) == 1 })
-		_, second := r.haltBehind()
-		leave(conn, how)
-		within(t, "its leaving is queued behind", func() bool { return len(r.loop.queue) == 3 })
-		first() // the exchange is sent, the leaving is not heard of
-		within(t, "the leg has ended", func() bool { return len(r.loop.queue) >= 2 && r.legsBegun() == 0 })
-		second()
-		within(t, "it is over", func() bool { return r.openLegs() == 0 && r.front.handlers.Load() == 0 })
+		conn.Write([]byte(strings.Replace(requestText("1", "GET", "look", ""), "900m", "60000m", 1)))
+		eventually(t, "it is queued", func() bool { return len(r.loop.queue) == 1 })
+		_, resumeSecond := r.stopLoopBehindQueue()
+		closeClient(conn, how)
+		eventually(t, "its leaving is queued behind", func() bool { return len(r.loop.queue) == 3 })
+		resumeFirst() // the exchange is sent, the leaving is not heard of
+		eventually(t, "the leg has ended", func() bool { return len(r.loop.queue) >= 2 && r.upstreamConnections() == 0 })
+		resumeSecond()
+		eventually(t, "it is over", func() bool { return r.openExchanges() == 0 && r.front.activeHandlers.Load() == 0 })
 		assert.Zero(t, s.requests.Load())
 		assert.EqualValues(t, 1, r.front.counters.left.Load())
 	}
 }
 
 // legsBegun counts connections to endpoints that are in use or idle.
-func (r *running) legsBegun() int {
-	_, n := r.front.sockets.held()
+func (r *testSidecar) upstreamConnections() int {
+	_, n := r.front.descriptors.connections()
 	return n
 }
 
 // An answer that wins while another leg still dials: the exchange is over, and what begins after that would be sent for nobody,
 // whether legs may be cancelled or not.
-func TestAnsweredWhileACopyDials(t *testing.T) {
-	for _, cancels := range []bool{true, false} {
-		first := make(chan bool)
+func TestAnsweredWhileAHedgeDials(t *testing.T) {
+	for _, mayCancel := range []bool{true, false} {
+		release := make(chan bool)
 		s := newStandIn(t, func(c net.Conn, _ *http.Request) bool {
-			<-first
+			<-release
 			c.Write([]byte(fine))
 			return false
 		})
-		r := begin(t, known(s, s), func(s *Start) { s.terms.MayCancel = cancels })
-		up, goOn := r.gatedDial(2)
+		r := startSidecar(t, listOf(s, s), func(s *Start) { s.terms.MayCancel = mayCancel })
+		dialled, resume := r.holdDial(2)
 		conn := r.dial()
-		conn.Write([]byte(ask("1", "GET", "look", "")))
+		conn.Write([]byte(requestText("1", "GET", "look", "")))
 		<-s.seen
 		r.loop.post(probe(func(l *loop) { l.Send("1", "s1", 0) })) // as the module's copy
-		<-up
-		close(first)
+		<-dialled
+		close(release)
 		got, _ := exchangeOn(conn, "")
 		require.NotNil(t, got)
 		assert.Equal(t, 200, got.StatusCode)
-		goOn()
-		within(t, "it is over", func() bool { return r.openLegs() == 0 })
+		resume()
+		eventually(t, "it is over", func() bool { return r.openExchanges() == 0 })
 		assert.EqualValues(t, 1, s.requests.Load())
 	}
 }
 
 // A keyed exchange whose repeat dials until endpoints may have forgotten its mark: sent then, its effect would come twice.
-func TestMarkForgottenWhileARepeatDials(t *testing.T) {
+func TestIdempotencyKeyExpiresWhileARetryDials(t *testing.T) {
 	const remember = 150
 	s := newStandIn(t, say("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false))
-	r := begin(t, known(s, s, s, s), func(s *Start) { s.terms.Products[2].DedupMemory = remember })
-	up, goOn := r.gatedDial(2)
+	r := startSidecar(t, listOf(s, s, s, s), func(s *Start) { s.terms.Products[2].DedupMemory = remember })
+	dialled, resume := r.holdDial(2)
 	conn, began := r.dial(), time.Now()
-	conn.Write([]byte(ask("1", "POST", "save", "Idempotency-Key: k\r\nContent-Length: 0\r\n")))
-	<-up
+	conn.Write([]byte(requestText("1", "POST", "save", "Idempotency-Key: k\r\nContent-Length: 0\r\n")))
+	<-dialled
 	time.Sleep(time.Until(began.Add(remember * time.Millisecond)))
-	goOn()
+	resume()
 	got, _ := exchangeOn(conn, "")
 	require.NotNil(t, got)
 	assert.EqualValues(t, 1, s.requests.Load())
 }
 
 // A drain that is told while a burst waits for the loop goes before the burst.
-func TestDrainToldBehindABurst(t *testing.T) {
+func TestDrainOvertakesABurstOfRequests(t *testing.T) {
 	a, b := newStandIn(t, say(fine, true)), newStandIn(t, say(fine, true))
-	tell := make(chan bool)
+	notify := make(chan bool)
 	d := newStandIn(t, func(c net.Conn, q *http.Request) bool {
-		c.Write([]byte(watchHead + chunk(known(a, b))))
-		<-tell
+		c.Write([]byte(watchHead + chunk(listOf(a, b))))
+		<-notify
 		c.Write([]byte(chunk(listText(2, false, entryText("s0", a.Addr().String(), "terminating")))))
 		return silent(c, q)
 	})
-	r := begin(t, known(a, b), func(s *Start) { s.Discovery = d.Addr().String() })
-	within(t, "the list", func() bool { return r.loop.heard.Load() })
-	goOn := r.halt()
+	r := startSidecar(t, listOf(a, b), func(s *Start) { s.Discovery = d.Addr().String() })
+	eventually(t, "the list", func() bool { return r.loop.watchHeard.Load() })
+	resume := r.stopLoop()
 	conns := []net.Conn{}
 	for n := range 40 {
 		conns = append(conns, r.dial())
-		conns[n].Write([]byte(ask(fmt.Sprint(n), "GET", "look", "")))
+		conns[n].Write([]byte(requestText(fmt.Sprint(n), "GET", "look", "")))
 	}
-	within(t, "the burst waits", func() bool { return len(r.loop.queue) == len(conns) })
-	_, then := r.haltBehind() // behind the burst: what is told after it and stays in the queue is not heard until all is answered
-	close(tell)
-	within(t, "the drain waits too", func() bool { return len(r.loop.queue) > len(conns)+1 || len(r.loop.news) > 0 })
-	goOn()
-	within(t, "the burst is sent", func() bool { return a.requests.Load()+b.requests.Load() > 0 })
-	then()
+	eventually(t, "the burst waits", func() bool { return len(r.loop.queue) == len(conns) })
+	_, resumeBehindBurst := r.stopLoopBehindQueue() // behind the burst: what is told after it and stays in the queue is not heard until all is answered
+	close(notify)
+	eventually(t, "the drain waits too", func() bool { return len(r.loop.queue) > len(conns)+1 || len(r.loop.discoverySlots) > 0 })
+	resume()
+	eventually(t, "the burst is sent", func() bool { return a.requests.Load()+b.requests.Load() > 0 })
+	resumeBehindBurst()
 	for _, c := range conns {
 		got, _ := exchangeOn(c, "")
 		require.NotNil(t, got)
@@ -305,32 +305,32 @@
 }
 
 // A list may come over many lines, and each byte in a piece of its own.
-func TestIndentedLists(t *testing.T) {
+func TestListsMaySpanSeveralLines(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
 	line := listText(3, true, entryText("s\\\"}{0", s.Addr().String(), "in_service"))
 	indented := strings.NewReplacer("{", "{\n  ", ",", ",\n\t", "[", "[\r\n", "}", "\n}").Replace(
 		listText(4, true, entryText("s0", s.Addr().String(), "in_service")))
 	for _, text := range []string{indented, "\n" + line + "\n\n" + indented + "\n"} {
-		whole := []string{}
+		objects := []string{}
 		for at := range text {
 			var w words
-			whole = whole[:0]
+			objects = objects[:0]
 			for _, p := range []string{text[:at], text[at:]} {
 				for rest := []byte(p); len(rest) > 0; {
 					object, _, after, err := w.next(rest)
 					require.NoError(t, err)
 					if rest = after; object != nil {
-						whole = append(whole, strings.TrimSpace(string(object)))
+						objects = append(objects, strings.TrimSpace(string(object)))
 					}
 				}
 			}
-			assert.Equal(t, strings.TrimSpace(indented), whole[len(whole)-1])
+			assert.Equal(t, strings.TrimSpace(indented), objects[len(objects)-1])
 			assert.Zero(t, w.depth)
 		}
 	}
-	for _, junk := range []string{"x", "]", "\"a\"", "1"} {
-		_, _, _, err := (&words{}).next([]byte(junk))
-		assert.Error(t, err, junk)
+	for _, invalid := range []string{"x", "]", "\"a\"", "1"} {
+		_, _, _, err := (&words{}).next([]byte(invalid))
+		assert.Error(t, err, invalid)
 	}
 	d := newStandIn(t, func(c net.Conn, q *http.Request) bool {
 		c.Write([]byte(watchHead))
@@ -339,26 +339,26 @@
 		}
 		return silent(c, q)
 	})
-	r := begin(t, "null", func(start *Start) { start.Discovery = d.Addr().String() })
-	within(t, "the list", func() bool { return r.loop.heard.Load() })
-	assert.Equal(t, 200, r.status(ask("1", "GET", "look", "")))
+	r := startSidecar(t, "null", func(start *Start) { start.Discovery = d.Addr().String() })
+	eventually(t, "the list", func() bool { return r.loop.watchHeard.Load() })
+	assert.Equal(t, 200, r.status(requestText("1", "GET", "look", "")))
 	assert.EqualValues(t, 1, d.requests.Load(), "asked once")
 }
 
 // A discovery that stops between two lines of one object is asked again as soon as one that stops inside a line.
-func TestHalfAnIndentedList(t *testing.T) {
+func TestIncompleteListIsRequestedAgain(t *testing.T) {
 	d := newStandIn(t, func(c net.Conn, q *http.Request) bool {
 		c.Write([]byte(watchHead + chunk("{\"version\":1,")))
 		return silent(c, q)
 	})
 	began := time.Now()
-	begin(t, "null", func(start *Start) { start.Discovery, start.silence = d.Addr().String(), time.Hour })
-	within(t, "asked again", func() bool { return d.requests.Load() >= 2 })
+	startSidecar(t, "null", func(start *Start) { start.Discovery, start.silence = d.Addr().String(), time.Hour })
+	eventually(t, "asked again", func() bool { return d.requests.Load() >= 2 })
 	assert.GreaterOrEqual(t, time.Since(began), lineTime)
 }
 
 // What is told out of order must not undo a drain, and a service that counts anew is asked for all it has.
-func TestOlderLists(t *testing.T) {
+func TestOutdatedListsDoNotUndoDrains(t *testing.T) {
 	at := "127.0.0.1:1"
 	up := func(id string) string { return entryText(id, at, "in_service") }
 	down := func(id string) string { return entryText(id, at, "terminating") }
@@ -376,22 +376,22 @@
 		{"newer whole list without entries", listText(6, true), "", 6},
 		{"newer change", listText(6, false, up("a")), "a b", 6},
 	} {
-		tell := make(chan bool)
+		notify := make(chan bool)
 		d := newStandIn(t, func(conn net.Conn, q *http.Request) bool {
 			conn.Write([]byte(watchHead + chunk(listText(5, true, down("a"), up("b")))))
-			<-tell
+			<-notify
 			conn.Write([]byte(chunk(c.after)))
 			return silent(conn, q)
 		})
-		r := begin(t, "null", func(s *Start) { s.Discovery = d.Addr().String() })
-		within(t, c.name, func() bool { return r.front.counters.lists.Load() == 1 })
-		close(tell)
-		within(t, c.name, func() bool { return r.front.counters.lists.Load() == 2 })
+		r := startSidecar(t, "null", func(s *Start) { s.Discovery = d.Addr().String() })
+		eventually(t, c.name, func() bool { return r.front.counters.lists.Load() == 1 })
+		close(notify)
+		eventually(t, c.name, func() bool { return r.front.counters.lists.Load() == 2 })
 		state := make(chan string)
 		r.loop.post(probe(func(l *loop) {
 			text := ""
 			for _, id := range []logic.EndpointID{"a", "b"} {
-				if e := l.up.find(id); e != nil && e.takes(at) {
+				if e := l.upstream.find(id); e != nil && e.takes(at) {
 					text += " " + string(id)
 				}
 			}
@@ -403,7 +403,7 @@
 
 // A sidecar had been told of a drain; its next watch, of a replica that lags or of the discovery that a new configuration names,
 // begins with a whole list from before. A drain that was told stands: only a list that is not older, or a later start, ends it.
-func TestDrainsStandAgainstOlderWholeLists(t *testing.T) {
+func TestDrainsOutlastOlderFullLists(t *testing.T) {
 	const at = "127.0.0.1:1"
 	entryOf := func(state string, started int) string {
 		return fmt.Sprintf(`{"id":"a","addr":%q,"zone":"a","cell":1,"state":%q,"weight":1.0,"started_ms":%d}`, at, state, started)
@@ -439,17 +439,17 @@
 				conn.Write([]byte(watchHead + chunk(c.next)))
 				return silent(conn, q)
 			})
-			r := begin(t, "null", func(s *Start) { s.Discovery = first.Addr().String() })
-			within(t, "the first list", func() bool { return r.front.counters.lists.Load() == 1 })
+			r := startSidecar(t, "null", func(s *Start) { s.Discovery = first.Addr().String() })
+			eventually(t, "the first list", func() bool { return r.front.counters.lists.Load() == 1 })
 			if c.moves {
 				r.loop.post(moved{second.Addr().String()})
 			} else {
 				close(ends)
 			}
-			within(t, "the next list", func() bool { return r.front.counters.lists.Load() == 2 })
+			eventually(t, "the next list", func() bool { return r.front.counters.lists.Load() == 2 })
 			takes := make(chan bool)
 			r.loop.post(probe(func(l *loop) {
-				e := l.up.find("a")
+				e := l.upstream.find("a")
 				takes <- e != nil && e.takes(at)
 			}))
 			assert.Equal(t, c.takes, <-takes)
@@ -461,11 +461,11 @@
 }
 
 // A service that starts its count again answers a watch from version 5 with changes of its own: all it has is asked for.
-func TestVersionsFromZeroAgain(t *testing.T) {
+func TestListVersionsMayRestart(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
-	turn := atomic.Int64{}
+	calls := atomic.Int64{}
 	d := newStandIn(t, func(c net.Conn, q *http.Request) bool {
-		switch turn.Add(1) {
+		switch calls.Add(1) {
 		case 1:
 			c.Write([]byte(watchHead + chunk(listText(5, true, entryText("old", "127.0.0.1:1", "in_service")))))
 			return false
@@ -476,90 +476,90 @@
 		}
 		return silent(c, q)
 	})
-	r := begin(t, "null", func(start *Start) { start.Discovery = d.Addr().String() })
+	r := startSidecar(t, "null", func(start *Start) { start.Discovery = d.Addr().String() })
 	for _, asked := range []string{"", "&after=5", ""} {
 		assert.Equal(t, "/discovery/hosts?watch=1"+asked, (<-d.seen).RequestURI)
 	}
-	within(t, "its list", func() bool { return r.front.counters.listVersion.Load() == 1 })
-	assert.Equal(t, 200, r.status(ask("1", "GET", "look", "")))
+	eventually(t, "its list", func() bool { return r.front.counters.listVersion.Load() == 1 })
+	assert.Equal(t, 200, r.status(requestText("1", "GET", "look", "")))
 }
 
 // A fault between a list's start and its end leaves half of a list: the whole is asked for again.
-func TestPanicInAList(t *testing.T) {
+func TestPanicInAListRequestsTheFullList(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
 	d := newStandIn(t, func(c net.Conn, q *http.Request) bool {
-		c.Write([]byte(watchHead + chunk(known(s))))
+		c.Write([]byte(watchHead + chunk(listOf(s))))
 		return silent(c, q)
 	})
-	r := begin(t, "null", func(start *Start) { start.Discovery = d.Addr().String() })
-	within(t, "the list", func() bool { return r.loop.heard.Load() })
+	r := startSidecar(t, "null", func(start *Start) { start.Discovery = d.Addr().String() })
+	eventually(t, "the list", func() bool { return r.loop.watchHeard.Load() })
 	<-d.seen
 	r.loop.post(probe(func(l *loop) {
 		names := l.list.zones
 		l.list.zones = nil
-		l.guarded(nil, func() {
+		l.runGuarded(nil, func() {
 			listing{inventory: inventory{version: 9, full: true, servers: []entry{{id: "x", addr: "127.0.0.1:1", running: true}}},
-				watch: l.list.current.number}.happen(l)
+				watch: l.list.current.number}.handle(l)
 		})
 		l.list.zones = names
 	}))
 	assert.Equal(t, "/discovery/hosts?watch=1", (<-d.seen).RequestURI)
-	within(t, "the list again", func() bool { return r.front.counters.listVersion.Load() == 1 && r.front.counters.lists.Load() > 1 })
-	assert.Equal(t, 200, r.status(ask("1", "GET", "look", "")))
+	eventually(t, "the list again", func() bool { return r.front.counters.listVersion.Load() == 1 && r.front.counters.lists.Load() > 1 })
+	assert.Equal(t, 200, r.status(requestText("1", "GET", "look", "")))
 	assert.EqualValues(t, 1, r.front.counters.panics.Load())
 }
 
 // accepted is a client's connection that nobody reads yet, and the client's end of it.
-func accepted(t *testing.T) (*client, *net.TCPConn) {
-	return connected(t, newSockets(100, &Counters{}))
+func acceptedClient(t *testing.T) (*clientConn, *net.TCPConn) {
+	return acceptedClientIn(t, newDescriptorLimiter(100, &Counters{}))
 }
 
 // A request that is in the kernel's buffer when kept connections are closed is served, not reset.
-func TestRequestUnreadWhenKeptOnesClose(t *testing.T) {
-	c, far := accepted(t)
-	c.become(idle)
-	far.Write([]byte(ask("1", "GET", "look", "")))
-	within(t, "it came", func() bool { return c.look() == unread })
-	c.sockets.shedQuiet(true)
+func TestUnreadRequestKeepsAnIdleConnectionOpen(t *testing.T) {
+	c, far := acceptedClient(t)
+	c.enterPhase(phaseIdle)
+	far.Write([]byte(requestText("1", "GET", "look", "")))
+	eventually(t, "it came", func() bool { return c.peekState() == connUnread })
+	c.descriptors.evictQuiet(true)
 	assert.False(t, c.closed.Load())
 	p := make([]byte, 1000)
 	n, err := c.Read(p)
 	require.NoError(t, err)
 	assert.True(t, strings.HasPrefix(string(p[:n]), "GET /look"))
-	c.sockets.shedQuiet(true)
+	c.descriptors.evictQuiet(true)
 	assert.False(t, c.closed.Load(), "a request is under way on it")
-	quiet, _ := accepted(t)
-	quiet.become(idle)
-	quiet.sockets.shedQuiet(false)
-	assert.True(t, quiet.closed.Load(), "nothing came on this one")
+	silent, _ := acceptedClient(t)
+	silent.enterPhase(phaseIdle)
+	silent.descriptors.evictQuiet(false)
+	assert.True(t, silent.closed.Load(), "nothing came on this one")
 }
 
 // A head that began in the last moment of a kept connection's time gets the time that any head has.
-func TestHeadAcrossTheIdleLimit(t *testing.T) {
-	c, far := accepted(t)
-	c.become(idle)
-	c.kept = true
-	limit := time.Now().Add(50 * time.Millisecond)
-	c.SetReadDeadline(limit)
-	text, p, read := ask("1", "GET", "look", ""), make([]byte, 1000), make(chan int, 1)
+func TestHeadThatCrossesTheIdleTimeout(t *testing.T) {
+	c, far := acceptedClient(t)
+	c.enterPhase(phaseIdle)
+	c.reused = true
+	idleDeadline := time.Now().Add(50 * time.Millisecond)
+	c.SetReadDeadline(idleDeadline)
+	text, p, read := requestText("1", "GET", "look", ""), make([]byte, 1000), make(chan int, 1)
 	go func() {
 		n, _ := c.Read(p)
 		read <- n
 	}()
 	far.Write([]byte(text[:10]))
-	within(t, "it began", func() bool { return phase(c.phase.Load()) == reading })
-	time.Sleep(time.Until(limit) + time.Millisecond)
+	eventually(t, "it began", func() bool { return phase(c.phase.Load()) == phaseReading })
+	time.Sleep(time.Until(idleDeadline) + time.Millisecond)
 	far.Write([]byte(text[10:]))
 	assert.Equal(t, text, string(p[:<-read]))
 }
 
 // What came before the time was over, and was not read by then, is not thrown away: a process stands still now and then.
-func TestHeadUnreadAtTheIdleLimit(t *testing.T) {
-	c, far := accepted(t)
-	c.become(idle)
-	text, p := ask("1", "GET", "look", ""), make([]byte, 1000)
+func TestUnreadHeadAtTheIdleTimeout(t *testing.T) {
+	c, far := acceptedClient(t)
+	c.enterPhase(phaseIdle)
+	text, p := requestText("1", "GET", "look", ""), make([]byte, 1000)
 	far.Write([]byte(text))
-	within(t, "it came", func() bool { return c.look() == unread })
+	eventually(t, "it came", func() bool { return c.peekState() == connUnread })
 	c.SetReadDeadline(time.Unix(1, 0))
 	n, err := c.Read(p)
 	require.NoError(t, err)
@@ -567,13 +567,13 @@
 }
 
 // An answer of which the client has read nothing yet is not reset because bytes stand unread behind its request.
-func TestAnswerBeforeUnreadBytes(t *testing.T) {
-	c, far := accepted(t)
+func TestUnreadBytesDoNotResetTheAnswer(t *testing.T) {
+	c, far := acceptedClient(t)
 	far.SetReadBuffer(4 << 10)
 	c.SetWriteBuffer(1 << 20)
 	answer := strings.Repeat("a", 200<<10)
 	far.Write([]byte("what nobody reads"))
-	within(t, "it came", func() bool { return c.look() == unread })
+	eventually(t, "it came", func() bool { return c.peekState() == connUnread })
 	c.SetWriteDeadline(time.Now().Add(10 * time.Second))
 	_, err := c.Write([]byte(answer))
 	require.NoError(t, err)
@@ -582,20 +582,20 @@
 	assert.NoError(t, err)
 	assert.Len(t, got, len(answer))
 	far.Close()
-	within(t, "given back", func() bool { n, _ := c.sockets.held(); return n == 0 })
+	eventually(t, "given back", func() bool { n, _ := c.descriptors.connections(); return n == 0 })
 }
 
 // A head that is half read when the listener is closed is waited for, and its exchange answered.
-func TestHalfAHeadAtTheEnd(t *testing.T) {
+func TestShutdownWaitsForAnIncompleteHead(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
-	r := begin(t, known(s), patient)
+	r := startSidecar(t, listOf(s), withLongTimeouts)
 	c := r.dial()
-	text := ask("1", "POST", "buy", "Content-Length: 2\r\n")
+	text := requestText("1", "POST", "buy", "Content-Length: 2\r\n")
 	c.Write([]byte(text[:30]))
-	within(t, "half of it was read", func() bool { return phase(r.theOne().phase.Load()) == reading })
+	eventually(t, "half of it was read", func() bool { return phase(r.onlyClient().phase.Load()) == phaseReading })
 	r.stop()
 	listener := r.front.listener.Load()
-	within(t, "the listener is closed", func() bool {
+	eventually(t, "the listener is closed", func() bool {
 		raw, err := listener.SyscallConn()
 		return err != nil || raw.Control(func(uintptr) {}) != nil
 	})
@@ -613,18 +613,18 @@
 }
 
 // A product whose clients wait longer than SIGKILL does is answered before that, and one whose time nobody names too.
-func TestTermWithALongAbandonTime(t *testing.T) {
+func TestShutdownAnswersBeforeALongAbandonTime(t *testing.T) {
 	for _, abandon := range []logic.Millis{0, 9000} {
 		t.Run(fmt.Sprint(abandon), func(t *testing.T) {
 			t.Parallel()
 			s := newStandIn(t, silent)
-			r := begin(t, known(s), func(s *Start) {
+			r := startSidecar(t, listOf(s), func(s *Start) {
 				for n := range s.terms.Products {
 					s.terms.Products[n].Abandon, s.terms.Products[n].Expected = abandon, 8000
 				}
 			})
 			c := r.dial()
-			c.Write([]byte(strings.Replace(ask("1", "POST", "buy", "Content-Length: 0\r\n"), "900m", "8000m", 1)))
+			c.Write([]byte(strings.Replace(requestText("1", "POST", "buy", "Content-Length: 0\r\n"), "900m", "8000m", 1)))
 			<-s.seen
 			r.stop()
 			began := time.Now()
@@ -640,7 +640,7 @@
 }
 
 // SIGTERM while the address is still held by another: nothing was taken, and the end is a good one.
-func TestTermBeforeTheAddressIsFree(t *testing.T) {
+func TestTermWhileWaitingForTheAddress(t *testing.T) {
 	before, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer before.Close()
@@ -656,8 +656,8 @@
 
 // A second answer comes some milliseconds behind the first, when its connection carries the next request already: it would
 // be served as that one's. How long a connection rests follows the settings' time to connect.
-func TestSecondAnswerAfterTheNextRequest(t *testing.T) {
-	u := newUpstream(600000, 1e9, newSockets(100, &Counters{}), &Counters{})
+func TestDuplicateAnswerIsNotTakenForTheNext(t *testing.T) {
+	u := newUpstream(600000, 1e9, newDescriptorLimiter(100, &Counters{}), &Counters{})
 	n, second := atomic.Int64{}, make(chan bool)
 	s := newStandIn(t, func(c net.Conn, _ *http.Request) bool {
 		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", n.Add(1))
@@ -677,12 +677,12 @@
 	}
 	assert.EqualValues(t, 3, s.connections.Load())
 	assert.Equal(t, time.Minute, u.rest)
-	assert.Equal(t, stallTime/10, newUpstream(0, 0, newSockets(100, &Counters{}), &Counters{}).rest)
+	assert.Equal(t, stallTime/10, newUpstream(0, 0, newDescriptorLimiter(100, &Counters{}), &Counters{}).rest)
 }
 
 // Classes, tenants and limits of another customer: whatever is absent, nothing or extreme, a healthy endpoint's answers get
 // through, from the first exchange on.
-func TestSettingsOfAnotherCustomer(t *testing.T) {
+func TestUnusualSettingsStillServe(t *testing.T) {
 	product := func(text string) string { return `"products":[` + text + `]` }
 	const rest = `"expected-time":500.0,"abandon-time":1000.0,"value":1.0,"overdue-value":0.5`
 	for _, c := range []struct{ name, from, to string }{
@@ -713,12 +713,12 @@
 				require.Contains(t, text, c.from)
 				text = strings.Replace(text, c.from, c.to, 1)
 			}
-			start, err := Decode([]byte(strings.NewReplacer("%KNOWN%", known(s, s), "%SOCKETS%", "1024").Replace(text)))
+			start, err := Decode([]byte(strings.NewReplacer("%KNOWN%", listOf(s, s), "%SOCKETS%", "1024").Replace(text)))
 			require.NoError(t, err)
-			r := begin(t, known(s, s), func(s *Start) { *s = *start })
+			r := startSidecar(t, listOf(s, s), func(s *Start) { *s = *start })
 			conn := r.dial()
 			for n := range 80 {
-				got, body := r.insist(conn, ask(fmt.Sprint(n), "GET", "look", "Tenant: a\r\n"))
+				got, body := r.exchangeWithRetry(conn, requestText(fmt.Sprint(n), "GET", "look", "Tenant: a\r\n"))
 				require.NotNil(t, got, body)
 				require.Equal(t, 200, got.StatusCode, "exchange %d", n)
 			}
@@ -728,7 +728,7 @@
 
 // A client whose connection broke sends its request once more under the same id. Nothing was sent on of the first: the second
 // is served. Something was: its effect must not come twice.
-func TestTheSameRequestOnceMore(t *testing.T) {
+func TestRepeatedRequestAfterABrokenConnection(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		begun bool
@@ -743,22 +743,22 @@
 				return say(fine, true)(conn, q)
 			})
 			defer close(hang)
-			r := begin(t, known(s), patient)
-			text := ask("1", "POST", "buy", "Content-Length: 0\r\n")
-			up, goOn := r.gatedDial(1)
+			r := startSidecar(t, listOf(s), withLongTimeouts)
+			text := requestText("1", "POST", "buy", "Content-Length: 0\r\n")
+			dialled, resume := r.holdDial(1)
 			first := r.dial()
 			first.Write([]byte(text))
-			<-up
+			<-dialled
 			if c.begun {
-				goOn()
+				resume()
 				<-s.seen
 			}
-			leave(first, "RST")
-			within(t, "its leaving is known", func() bool { return r.front.counters.left.Load() == 1 })
+			closeClient(first, "RST")
+			eventually(t, "its leaving is known", func() bool { return r.front.counters.left.Load() == 1 })
 			if !c.begun {
-				goOn()
+				resume()
 			}
-			within(t, "it is over", func() bool { return r.openLegs() == 0 })
+			eventually(t, "it is over", func() bool { return r.openExchanges() == 0 })
 			assert.Equal(t, c.want, r.status(text))
 			assert.EqualValues(t, 1, s.requests.Load(), "one effect")
 		})
@@ -766,21 +766,21 @@
 }
 
 // The first connection's end has come and its leaving is not booked when the request comes again: the loop looks.
-func TestTheSameRequestBeforeTheLeavingIsBooked(t *testing.T) {
+func TestRepeatedRequestBeforeTheCloseIsProcessed(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
-	r := begin(t, "null", patient)
+	r := startSidecar(t, "null", withLongTimeouts)
 	r.loop.post(listing{inventory: inventory{version: 1, full: true, servers: []entry{{id: "s0", addr: s.Addr().String(), running: true}}}, fromDisk: true})
-	text := ask("1", "POST", "buy", "Content-Length: 0\r\n")
-	goOn := r.halt()
+	text := requestText("1", "POST", "buy", "Content-Length: 0\r\n")
+	resume := r.stopLoop()
 	first := r.dial()
 	first.Write([]byte(text))
-	within(t, "it is queued", func() bool { return len(r.loop.queue) == 1 })
-	leave(first, "FIN")
-	within(t, "so is its leaving", func() bool { return len(r.loop.queue) == 2 })
+	eventually(t, "it is queued", func() bool { return len(r.loop.queue) == 1 })
+	closeClient(first, "FIN")
+	eventually(t, "so is its leaving", func() bool { return len(r.loop.queue) == 2 })
 	second := r.dial()
 	second.Write([]byte(text))
-	within(t, "and the second", func() bool { return len(r.loop.queue) == 3 })
-	goOn()
+	eventually(t, "and the second", func() bool { return len(r.loop.queue) == 3 })
+	resume()
 	got, _ := exchangeOn(second, "")
 	require.NotNil(t, got)
 	assert.Contains(t, []int{200, 409}, got.StatusCode)
@@ -788,7 +788,7 @@
 }
 
 // An endpoint that answers before it has the whole of a request has not read it: that answer is nobody's.
-func TestAnswerBeforeTheLastByte(t *testing.T) {
+func TestAnswerBeforeTheWholeRequestIsRejected(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -808,7 +808,7 @@
 	u.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := plain(ctx, network, addr)
 		first <- c
-		return &heldWrites{Conn: c, part: 2000}, err
+		return &heldWriteConn{Conn: c, part: 2000}, err
 	}
 	_, fault := u.run(g)
 	require.NotNil(t, fault)
@@ -817,16 +817,16 @@
 }
 
 // heldWrites holds back all behind the first part of a message until its peer has said something.
-type heldWrites struct {
+type heldWriteConn struct {
 	net.Conn
 	part int
 }
 
-func (h *heldWrites) SyscallConn() (syscall.RawConn, error) {
+func (h *heldWriteConn) SyscallConn() (syscall.RawConn, error) {
 	return h.Conn.(*net.TCPConn).SyscallConn()
 }
 
-func (h *heldWrites) Write(p []byte) (int, error) {
+func (h *heldWriteConn) Write(p []byte) (int, error) {
 	if len(p) > h.part && h.part > 0 {
 		n, err := h.Conn.Write(p[:h.part])
 		if err != nil {
@@ -844,15 +844,15 @@
 
 // Many requests pipelined on one connection, more than is read ahead: each is answered, in order, though its client writes all
 // before it reads the first answer.
-func TestPipelinedBeyondWhatIsReadAhead(t *testing.T) {
+func TestPipeliningBeyondTheReadAheadLimit(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
-	r := begin(t, known(s, s), patient)
+	r := startSidecar(t, listOf(s, s), withLongTimeouts)
 	c := r.dial()
 	const many = 60
 	long := "X-Long: " + strings.Repeat("x", 4<<10) + "\r\n"
 	go func() {
 		for n := range many {
-			c.Write([]byte(ask(fmt.Sprint(n), "POST", "buy", long+"Content-Length: 2\r\n") + "ab"))
+			c.Write([]byte(requestText(fmt.Sprint(n), "POST", "buy", long+"Content-Length: 2\r\n") + "ab"))
 		}
 	}()
 	in := bufio.NewReader(c)
@@ -867,14 +867,14 @@
 
 // What was known of one request must not be taken for the next one's on its connection: a body in chunks behind an exchange
 // of any kind was read as what stands behind a request, and thrown away.
-func TestChunksOnAKeptConnection(t *testing.T) {
+func TestChunkedBodyOnAReusedConnection(t *testing.T) {
 	for _, size := range []int{2, bodyMost + 16} {
 		s := newStandIn(t, say(fine, true))
-		r := begin(t, known(s), nil)
+		r := startSidecar(t, listOf(s), nil)
 		c, body := r.dial(), strings.Repeat("x", size)
 		for n, text := range []string{
-			ask("0", "GET", "look", ""), ask("1", "POST", "buy", "Content-Length: 2\r\n") + "ab",
-			ask("2", "POST", "buy", "Transfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", size, body),
+			requestText("0", "GET", "look", ""), requestText("1", "POST", "buy", "Content-Length: 2\r\n") + "ab",
+			requestText("2", "POST", "buy", "Transfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", size, body),
 		} {
 			got, why := exchangeOn(c, text)
 			require.NotNil(t, got, why)
@@ -888,40 +888,40 @@
 }
 
 // placedText is an entry of a zone and a kind of machine.
-func placedText(id, addr, zone, kind, state string) string {
+func placedEntryText(id, addr, zone, kind, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":1,"state":%q,"weight":1.0,"started_ms":0}`, id, addr, zone, kind, state)
 }
 
 // bound has buy go to machines of kind k in zone a only.
-func bound(s *Start) {
+func withBoundBuy(s *Start) {
 	s.terms.Products[1].RunsIn = []logic.ZoneID{s.names.Zone([]byte("a"))}
 	s.terms.Products[1].AllowedOn = []logic.KindID{s.names.Kind([]byte("k"))}
 }
 
 // A product that is bound to a zone and a kind of machine goes nowhere else, whatever the list makes of its endpoints; others
 // go anywhere meanwhile. A start file that is read anew does not open what this process was told to keep to.
-func TestPlacementOnSockets(t *testing.T) {
+func TestPlacementConstraintsAreKept(t *testing.T) {
 	right, other, wrong := newStandIn(t, say(fine, true)), newStandIn(t, say(fine, true)), newStandIn(t, say(fine, true))
-	r8, o, w := right.Addr().String(), other.Addr().String(), wrong.Addr().String()
-	tell, d := telling(t)
-	r := begin(t, "null", func(s *Start) {
+	rightAddr, otherAddr, wrongAddr := right.Addr().String(), other.Addr().String(), wrong.Addr().String()
+	notify, d := telling(t)
+	r := startSidecar(t, "null", func(s *Start) {
 		s.Discovery = d.Addr().String()
-		bound(s)
+		withBoundBuy(s)
 	})
 	for n, c := range []struct {
 		name, line string
 		to         *standIn // of buy; nil for nowhere
 	}{
-		{"one is open to it", listText(1, true, placedText("s0", r8, "a", "k", "in_service"), placedText("s1", o, "b", "k", "in_service"),
-			placedText("s2", w, "a", "l", "in_service")), right},
-		{"that one drains", listText(2, false, placedText("s0", r8, "a", "k", "terminating")), nil},
-		{"another moves in", listText(3, false, placedText("s1", o, "a", "k", "in_service")), other},
-		{"it becomes another kind", listText(4, false, placedText("s1", o, "a", "l", "in_service")), nil},
-		{"a whole list without any", listText(5, true, placedText("s2", w, "a", "l", "in_service")), nil},
-		{"the first is back", listText(6, false, placedText("s0", r8, "a", "k", "in_service")), right},
+		{"one is open to it", listText(1, true, placedEntryText("s0", rightAddr, "a", "k", "in_service"), placedEntryText("s1", otherAddr, "b", "k", "in_service"),
+			placedEntryText("s2", wrongAddr, "a", "l", "in_service")), right},
+		{"that one drains", listText(2, false, placedEntryText("s0", rightAddr, "a", "k", "terminating")), nil},
+		{"another moves in", listText(3, false, placedEntryText("s1", otherAddr, "a", "k", "in_service")), other},
+		{"it becomes another kind", listText(4, false, placedEntryText("s1", otherAddr, "a", "l", "in_service")), nil},
+		{"a whole list without any", listText(5, true, placedEntryText("s2", wrongAddr, "a", "l", "in_service")), nil},
+		{"the first is back", listText(6, false, placedEntryText("s0", rightAddr, "a", "k", "in_service")), right},
 	} {
-		tell <- c.line
-		within(t, c.name, func() bool { return r.front.counters.listVersion.Load() == int64(n+1) })
+		notify <- c.line
+		eventually(t, c.name, func() bool { return r.front.counters.listVersion.Load() == int64(n+1) })
 		for _, s := range []*standIn{right, other, wrong} {
 			for len(s.seen) > 0 {
 				<-s.seen
@@ -932,21 +932,21 @@
 			if c.to != nil {
 				status = 200
 			}
-			require.Equal(t, status, r.status(ask(fmt.Sprint("b", n, "-", k), "POST", "buy", "Content-Length: 0\r\n")), c.name)
-			require.Equal(t, 200, r.status(ask(fmt.Sprint("l", n, "-", k), "GET", "look", "")), c.name)
+			require.Equal(t, status, r.status(requestText(fmt.Sprint("b", n, "-", k), "POST", "buy", "Content-Length: 0\r\n")), c.name)
+			require.Equal(t, 200, r.status(requestText(fmt.Sprint("l", n, "-", k), "GET", "look", "")), c.name)
 		}
-		bought := map[*standIn]int{}
+		received := map[*standIn]int{}
 		for _, s := range []*standIn{right, other, wrong} {
 			for len(s.seen) > 0 {
 				if got := <-s.seen; got.Method == "POST" {
-					bought[s]++
+					received[s]++
 				}
 			}
 		}
 		if c.to == nil {
-			assert.Empty(t, bought, c.name)
+			assert.Empty(t, received, c.name)
 		} else {
-			assert.Equal(t, map[*standIn]int{c.to: 12}, bought, c.name)
+			assert.Equal(t, map[*standIn]int{c.to: 12}, received, c.name)
 		}
 	}
 }
@@ -958,19 +958,19 @@
 			t.Parallel()
 			s := newStandIn(t, say(fine, true))
 			at := s.Addr().String()
-			r := begin(t, listText(1, true, placedText("s0", at, "a", "k", "in_service")), bound)
-			up, goOn := r.gatedDial(1)
+			r := startSidecar(t, listText(1, true, placedEntryText("s0", at, "a", "k", "in_service")), withBoundBuy)
+			dialled, resume := r.holdDial(1)
 			answer := make(chan int, 1)
-			go func() { answer <- r.status(ask("1", "POST", "buy", "Content-Length: 0\r\n")) }()
-			<-up
-			r.loop.postFirst(listing{inventory: inventory{version: 2, servers: []entry{{id: "s0", addr: at, zone: c.zone, kind: c.kind,
+			go func() { answer <- r.status(requestText("1", "POST", "buy", "Content-Length: 0\r\n")) }()
+			<-dialled
+			r.loop.postUrgent(listing{inventory: inventory{version: 2, servers: []entry{{id: "s0", addr: at, zone: c.zone, kind: c.kind,
 				cell: 1, running: true, weight: 1}}}, fromDisk: true})
-			within(t, "it is booked", func() bool {
+			eventually(t, "it is booked", func() bool {
 				there := make(chan [2]string)
-				r.loop.post(probe(func(l *loop) { there <- l.up.find("s0").stands() }))
+				r.loop.post(probe(func(l *loop) { there <- l.upstream.find("s0").stands() }))
 				return <-there == [2]string{c.zone, c.kind}
 			})
-			goOn()
+			resume()
 			assert.Equal(t, 503, <-answer)
 			assert.Zero(t, s.requests.Load())
 		})
--- a/internal/sidecar/defect.go
+++ b/internal/sidecar/defect.go
@@ -3,4 +3,4 @@
 package sidecar
 
 // seeded names a defect sown on purpose, for the rehearsals' own checks. Builds for service have none.
-const seeded = ""
+const injectedFault = ""
--- a/internal/sidecar/defect_seeded.go
+++ b/internal/sidecar/defect_seeded.go
@@ -4,4 +4,4 @@
 
 import "os"
 
-var seeded = os.Getenv("LYNXJUNCTION_DEFECT")
+var injectedFault = os.Getenv("LYNXJUNCTION_DEFECT")
--- a/internal/sidecar/descriptors.go
+++ b/internal/sidecar/descriptors.go
@@ -12,181 +12,181 @@
 )
 
 // fixedSockets are standard streams, listener, poller and discovery, with some to spare.
-const fixedSockets = 24
+const reservedDescriptors = 24
 
 // clientPart is the part of the usable descriptors that clients keep against endpoints, and that endpoints keep against clients. A
 // request in hand needs one of each, so that a crowd of clients must not take what its requests go out on, as HAProxy keeps maxconn of
 // frontends and of servers apart.
-const clientPart = 2
+const clientShareDivisor = 2
 
 // upstreamPart is the part of the usable descriptors down to which endpoints' idle connections give way to a crowd of silent clients.
-const upstreamPart = 8
+const idleUpstreamShareDivisor = 8
 
 // Silences after which a connection gives way. They shrink from the most to the least as the listener's queue grows, so that whoever
 // waits there is accepted in about queueTarget.
 const (
-	freshMost    = 100 * time.Millisecond // who said nothing at all
-	freshLeast   = 10 * time.Millisecond
-	readingMost  = 500 * time.Millisecond // who has not sent a whole request, from its first byte
-	readingLeast = 20 * time.Millisecond
-	queueTarget  = 25 * time.Millisecond
+	maxFreshSilence   = 100 * time.Millisecond // who said nothing at all
+	minFreshSilence   = 10 * time.Millisecond
+	maxReadingSilence = 500 * time.Millisecond // who has not sent a whole request, from its first byte
+	minReadingSilence = 20 * time.Millisecond
+	acceptWaitTarget  = 25 * time.Millisecond
 )
 
 const (
-	claimTries = 8                    // for a descriptor that another goroutine took first
-	claimPause = 5 * time.Millisecond // between two looks for one while nobody can give way
+	maxClaimTries     = 8                    // for a descriptor that another goroutine took first
+	claimPollInterval = 5 * time.Millisecond // between two looks for one while nobody can give way
 )
 
 // sockets counts descriptors against the limit. Clients may go beyond it by a spare part, in which they are read and
 // answered 503: a connection accepted by the kernel and never read would be an exchange lost.
-type sockets struct {
-	mu            sync.Mutex
-	changed       *sync.Cond
-	began         time.Time
-	usable, spare int
-	set           int // set aside by each process: fixed ones, and the console's callers
-	whole         int // usable by this process while it is alone
-	keep          int // clients' connections up to which they are kept after an answer
-	upstream      int
-	clients       map[*client]struct{}
-	dropIdle      func() bool // closes one idle upstream connection
-	queued        func() int  // connections that wait to be accepted; 0 where that is not known
-	counters      *Counters
+type descriptorLimiter struct {
+	mu                sync.Mutex
+	changed           *sync.Cond
+	startedAt         time.Time
+	usable, spare     int
+	reserved          int // set aside by each process: fixed ones, and the console's callers
+	usableAlone       int // usable by this process while it is alone
+	maxKeptAlive      int // clients' connections up to which they are kept after an answer
+	upstreamConns     int
+	clients           map[*clientConn]struct{}
+	closeIdleUpstream func() bool // closes one idle upstream connection
+	acceptQueueLength func() int  // connections that wait to be accepted; 0 where that is not known
+	counters          *Counters
 }
 
-func newSockets(limit int, c *Counters) *sockets {
-	s := &sockets{
-		began: time.Now(), spare: limit / 16, keep: limit / 6, dropIdle: func() bool { return false }, queued: func() int { return 0 },
-		counters: c, clients: map[*client]struct{}{},
+func newDescriptorLimiter(limit int, c *Counters) *descriptorLimiter {
+	s := &descriptorLimiter{
+		startedAt: time.Now(), spare: limit / 16, maxKeptAlive: limit / 6, closeIdleUpstream: func() bool { return false }, acceptQueueLength: func() int { return 0 },
+		counters: c, clients: map[*clientConn]struct{}{},
 	}
-	s.usable = max(limit-fixedSockets-s.spare, 2)
-	s.whole = s.usable
+	s.usable = max(limit-reservedDescriptors-s.spare, 2)
+	s.usableAlone = s.usable
 	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
-func (s *sockets) clock() time.Duration { return time.Since(s.began) }
+func (s *descriptorLimiter) clock() time.Duration { return time.Since(s.startedAt) }
 
-func (s *sockets) held() (clients, upstream int) {
+func (s *descriptorLimiter) connections() (clients, upstream int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.clients), s.upstream
+	return len(s.clients), s.upstreamConns
 }
 
 // shareWith makes room for the other processes of an upgrade, which hold so many: each may have half of what neither does.
 // What is silent or idle gives way first. Below 0 there is no other.
-func (s *sockets) shareWith(held int) {
+func (s *descriptorLimiter) shareWith(othersHold int) {
 	s.mu.Lock()
-	s.usable = s.whole
-	if held >= 0 {
-		mine, both := len(s.clients)+s.upstream, s.whole-s.set
-		s.usable = max(min(mine, both/2)+max(both-mine-held, 0)/2, 2)
+	s.usable = s.usableAlone
+	if othersHold >= 0 {
+		own, shared := len(s.clients)+s.upstreamConns, s.usableAlone-s.reserved
+		s.usable = max(min(own, shared/2)+max(shared-own-othersHold, 0)/2, 2)
 	}
 	s.mu.Unlock()
 	s.changed.Broadcast()
-	for s.over() && (s.shedSilent(silentOnly) || s.dropIdle() || s.shedSilent(idleOnly)) {
+	for s.overLimit() && (s.evictSilent(minSilenceLimits) || s.closeIdleUpstream() || s.evictSilent(idleLimits)) {
 	}
 }
 
-func (s *sockets) over() bool {
+func (s *descriptorLimiter) overLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.clients)+s.upstream > s.usable
+	return len(s.clients)+s.upstreamConns > s.usable
 }
 
 // crowded tells that an answer should close its connection. An application may hold a third of our descriptors: with that
 // many connections idle, left behind by those who ask once and stay, its next requests would find none to go out on.
-func (s *sockets) crowded() bool {
+func (s *descriptorLimiter) keepAliveExceeded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	answered := 0
 	for c := range s.clients {
-		if in := phase(c.phase.Load()); in == busy || in == idle {
+		if current := phase(c.phase.Load()); current == phaseBusy || current == phaseIdle {
 			answered++
 		}
 	}
-	return answered > s.keep
+	return answered > s.maxKeptAlive
 }
 
 // full tells whether the usable descriptors, and so many more, are held.
-func (s *sockets) full(more int) bool {
+func (s *descriptorLimiter) full(extra int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.clients)+s.upstream >= s.usable+more
+	return len(s.clients)+s.upstreamConns >= s.usable+extra
 }
 
 // clientsKeep is how many connections clients keep against endpoints.
-func (s *sockets) clientsKeep() int { return s.usable / clientPart }
+func (s *descriptorLimiter) clientGuarantee() int { return s.usable / clientShareDivisor }
 
 // clientsHold tells whether clients have more than they keep against endpoints.
-func (s *sockets) clientsHold() bool {
+func (s *descriptorLimiter) clientsExceedGuarantee() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.clients) > s.clientsKeep()
+	return len(s.clients) > s.clientGuarantee()
 }
 
 // idleGives tells whether endpoints' idle connections give way to one more client: always, but for the last of them, which give way only
 // while clients that ask for nothing just now have less than clients keep.
-func (s *sockets) idleGives() bool {
+func (s *descriptorLimiter) idleUpstreamEvictable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.upstream > s.usable/upstreamPart {
+	if s.upstreamConns > s.usable/idleUpstreamShareDivisor {
 		return true
 	}
-	silent := 0
+	notBusy := 0
 	for c := range s.clients {
-		if in := phase(c.phase.Load()); in != busy {
-			silent++
+		if current := phase(c.phase.Load()); current != phaseBusy {
+			notBusy++
 		}
 	}
-	return silent < s.clientsKeep()
+	return notBusy < s.clientGuarantee()
 }
 
 // silences are the shortest silences after which connections give way, by their phase. A phase that is missing does not.
-type silences map[phase]time.Duration
+type silenceLimits map[phase]time.Duration
 
 var (
-	idleOnly   = silences{idle: 0}
-	anySilent  = silences{fresh: 0, idle: 0, reading: 0}
-	silentOnly = silences{fresh: freshLeast, reading: readingLeast}
-	slowOnly   = silences{reading: readingMost}
+	idleLimits        = silenceLimits{phaseIdle: 0}
+	anySilenceLimits  = silenceLimits{phaseFresh: 0, phaseIdle: 0, phaseReading: 0}
+	minSilenceLimits  = silenceLimits{phaseFresh: minFreshSilence, phaseReading: minReadingSilence}
+	slowRequestLimits = silenceLimits{phaseReading: maxReadingSilence}
 )
 
 // patience is how long silent connections are waited for just now. The queue passes through the clients' descriptors once in the time
 // that each is held, so that its wait is that time by queued over usable. While nobody has to wait longer than that, half a request, which
 // would have to be refused, gives way last.
-func (s *sockets) patience() silences {
-	queued := s.queued()
-	if queued <= 0 {
-		return silences{fresh: freshMost, idle: 0}
+func (s *descriptorLimiter) currentLimits() silenceLimits {
+	waiting := s.acceptQueueLength()
+	if waiting <= 0 {
+		return silenceLimits{phaseFresh: maxFreshSilence, phaseIdle: 0}
 	}
-	held := queueTarget * time.Duration(s.usable) / time.Duration(queued)
-	if held >= readingMost {
-		return silences{fresh: freshMost, idle: 0}
+	holdTime := acceptWaitTarget * time.Duration(s.usable) / time.Duration(waiting)
+	if holdTime >= maxReadingSilence {
+		return silenceLimits{phaseFresh: maxFreshSilence, phaseIdle: 0}
 	}
-	return silences{fresh: min(max(held, freshLeast), freshMost), idle: 0, reading: max(held, readingLeast)}
+	return silenceLimits{phaseFresh: min(max(holdTime, minFreshSilence), maxFreshSilence), phaseIdle: 0, phaseReading: max(holdTime, minReadingSilence)}
 }
 
 // room tells whether one more client fits, once who is silent has given way, or an endpoint's idle connection, whose opening costs more.
-func (s *sockets) room() bool {
-	return !s.full(0) || s.shedSilent(s.patience()) || s.idleGives() && s.dropIdle() || s.shedSilent(slowOnly)
+func (s *descriptorLimiter) makeClientRoom() bool {
+	return !s.full(0) || s.evictSilent(s.currentLimits()) || s.idleUpstreamEvictable() && s.closeIdleUpstream() || s.evictSilent(slowRequestLimits)
 }
 
 // upstreamRoom does the same for one more connection to an endpoint.
-func (s *sockets) upstreamRoom() bool {
-	return !s.full(0) || s.shedSilent(s.patience()) || s.dropIdle() || s.shedSilent(slowOnly)
+func (s *descriptorLimiter) makeUpstreamRoom() bool {
+	return !s.full(0) || s.evictSilent(s.currentLimits()) || s.closeIdleUpstream() || s.evictSilent(slowRequestLimits)
 }
 
 // shedSilent closes the connection that has been longest in its phase, of those that may give way. What waits unread on one is served.
-func (s *sockets) shedSilent(after silences) bool {
-	for _, c := range s.silent(after) {
-		in := phase(c.phase.Load())
-		if _, may := after[in]; !may || c.look() == unread || !c.phase.CompareAndSwap(int32(in), int32(shed)) {
+func (s *descriptorLimiter) evictSilent(limits silenceLimits) bool {
+	for _, c := range s.evictionCandidates(limits) {
+		current := phase(c.phase.Load())
+		if _, evictable := limits[current]; !evictable || c.peekState() == connUnread || !c.phase.CompareAndSwap(int32(current), int32(phaseEvicted)) {
 			continue // it woke up meanwhile
 		}
 		s.counters.shed.Add(1)
-		if in == reading {
-			c.refuseUnread()
+		if current == phaseReading {
+			c.refuseIncomplete()
 		}
 		c.Close()
 		return true
@@ -195,38 +195,38 @@
 }
 
 // silentMost bounds the connections that one search looks at.
-const silentMost = 32
+const maxEvictionCandidates = 32
 
 // silent are connections that may give way, the longest in their phase first.
-func (s *sockets) silent(after silences) (found []*client) {
+func (s *descriptorLimiter) evictionCandidates(limits silenceLimits) (found []*clientConn) {
 	now := s.clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.clients {
-		if least, may := after[phase(c.phase.Load())]; may && now-time.Duration(c.since.Load()) >= least {
+		if limit, evictable := limits[phase(c.phase.Load())]; evictable && now-time.Duration(c.phaseSince.Load()) >= limit {
 			found = append(found, c)
 		}
 	}
-	slices.SortFunc(found, func(a, o *client) int { return cmp.Compare(a.since.Load(), o.since.Load()) })
-	return found[:min(len(found), silentMost)]
+	slices.SortFunc(found, func(a, o *clientConn) int { return cmp.Compare(a.phaseSince.Load(), o.phaseSince.Load()) })
+	return found[:min(len(found), maxEvictionCandidates)]
 }
 
 // shedQuiet closes kept connections on which nothing has come, and, once nobody comes any more, those on which nothing
 // ever came. What waits unread on one is served first.
-func (s *sockets) shedQuiet(freshToo bool) {
+func (s *descriptorLimiter) evictQuiet(includeFresh bool) {
 	now := s.clock()
 	s.mu.Lock()
-	var quiet []*client
+	var quiet []*clientConn
 	for c := range s.clients {
-		in := phase(c.phase.Load())
-		if in == idle || freshToo && in == fresh && now-time.Duration(c.since.Load()) >= freshMost {
+		current := phase(c.phase.Load())
+		if current == phaseIdle || includeFresh && current == phaseFresh && now-time.Duration(c.phaseSince.Load()) >= maxFreshSilence {
 			quiet = append(quiet, c)
 		}
 	}
 	s.mu.Unlock()
 	for _, c := range quiet {
-		in := c.phase.Load()
-		if (phase(in) == idle || phase(in) == fresh) && c.look() != unread && c.phase.CompareAndSwap(in, int32(shed)) {
+		current := c.phase.Load()
+		if (phase(current) == phaseIdle || phase(current) == phaseFresh) && c.peekState() != connUnread && c.phase.CompareAndSwap(current, int32(phaseEvicted)) {
 			c.Close()
 		}
 	}
@@ -234,31 +234,31 @@
 
 // takeClient counts a client's connection in; false means that it is beyond the limit. One whose request waits whole takes the place of
 // the longest silent, however short that is silent, so that it fits although others are beyond the limit.
-func (s *sockets) takeClient(c *client) bool {
-	if s.enterClient(c, false) {
+func (s *descriptorLimiter) admitClient(c *clientConn) bool {
+	if s.countClient(c, false) {
 		return true
 	}
-	if c.headWaits() && s.shedSilent(anySilent) {
-		s.enterClient(c, true)
+	if c.headIsComplete() && s.evictSilent(anySilenceLimits) {
+		s.countClient(c, true)
 		return true
 	}
-	for range claimTries {
-		if !s.room() {
+	for range maxClaimTries {
+		if !s.makeClientRoom() {
 			break
 		}
-		if s.enterClient(c, false) {
+		if s.countClient(c, false) {
 			return true
 		}
 	}
-	return s.enterClient(c, true)
+	return s.countClient(c, true)
 }
 
 // enterClient counts a client in if it fits, or beyond the limit, and tells whether it fits.
-func (s *sockets) enterClient(c *client, beyond bool) bool {
+func (s *descriptorLimiter) countClient(c *clientConn, force bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fits := len(s.clients)+s.upstream < s.usable
-	if fits || beyond {
+	fits := len(s.clients)+s.upstreamConns < s.usable
+	if fits || force {
 		s.clients[c] = struct{}{}
 	}
 	return fits
@@ -266,18 +266,18 @@
 
 // takeUpstream counts a connection to an endpoint in, or says that there is no room. While clients hold more than their part it takes
 // the place of one of them, although others are beyond the limit.
-func (s *sockets) takeUpstream() bool {
-	if s.enterUpstream(false) {
+func (s *descriptorLimiter) acquireUpstream() bool {
+	if s.countUpstream(false) {
 		return true
 	}
-	if s.clientsHold() && s.shedSilent(anySilent) {
-		return s.enterUpstream(true)
+	if s.clientsExceedGuarantee() && s.evictSilent(anySilenceLimits) {
+		return s.countUpstream(true)
 	}
-	for range claimTries {
-		if !s.upstreamRoom() {
+	for range maxClaimTries {
+		if !s.makeUpstreamRoom() {
 			return false
 		}
-		if s.enterUpstream(false) {
+		if s.countUpstream(false) {
 			return true
 		}
 	}
@@ -285,23 +285,23 @@
 }
 
 // enterUpstream counts a connection to an endpoint in if it fits, or into the spare part.
-func (s *sockets) enterUpstream(beyond bool) bool {
+func (s *descriptorLimiter) countUpstream(useSpare bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	limit := s.usable
-	if beyond {
+	if useSpare {
 		limit += s.spare
 	}
-	if len(s.clients)+s.upstream >= limit {
+	if len(s.clients)+s.upstreamConns >= limit {
 		return false
 	}
-	s.upstream++
+	s.upstreamConns++
 	return true
 }
 
 // awaitUpstream is takeUpstream that waits for a descriptor until ctx ends.
-func (s *sockets) awaitUpstream(ctx context.Context) bool {
-	for !s.takeUpstream() {
+func (s *descriptorLimiter) waitForUpstream(ctx context.Context) bool {
+	for !s.acquireUpstream() {
 		if ctx.Err() != nil {
 			return false
 		}
@@ -310,31 +310,31 @@
 	return true
 }
 
-func (s *sockets) leave(c *client) {
+func (s *descriptorLimiter) releaseClient(c *clientConn) {
 	s.mu.Lock()
 	delete(s.clients, c)
 	s.mu.Unlock()
 	s.changed.Broadcast()
 }
 
-func (s *sockets) give() {
+func (s *descriptorLimiter) releaseUpstream() {
 	s.mu.Lock()
-	s.upstream--
+	s.upstreamConns--
 	s.mu.Unlock()
 	s.changed.Broadcast()
 }
 
 // await blocks while even the spare part is used up and nobody can give way.
-func (s *sockets) await() {
-	for s.full(s.spare) && !s.room() {
+func (s *descriptorLimiter) waitForClientRoom() {
+	for s.full(s.spare) && !s.makeClientRoom() {
 		s.waitForChange()
 	}
 }
 
 // waitForChange returns when a descriptor was given back, or after a pause in which somebody may have become silent for long enough.
-func (s *sockets) waitForChange() {
-	again := time.AfterFunc(claimPause, s.changed.Broadcast)
-	defer again.Stop()
+func (s *descriptorLimiter) waitForChange() {
+	wake := time.AfterFunc(claimPollInterval, s.changed.Broadcast)
+	defer wake.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changed.Wait()
--- a/internal/sidecar/descriptors_test.go
+++ b/internal/sidecar/descriptors_test.go
@@ -14,7 +14,7 @@
 )
 
 // connected is a client's connection beside others in the same books, and its far end.
-func connected(t *testing.T, s *sockets) (*client, *net.TCPConn) {
+func acceptedClientIn(t *testing.T, s *descriptorLimiter) (*clientConn, *net.TCPConn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -23,34 +23,34 @@
 	t.Cleanup(func() { far.Close() })
 	near, err := ln.Accept()
 	require.NoError(t, err)
-	c := newClient(near.(*net.TCPConn), s)
+	c := newClientConn(near.(*net.TCPConn), s)
 	t.Cleanup(func() { c.Close() })
 	return c, far.(*net.TCPConn)
 }
 
 // A crowd of silent clients took every descriptor, each attempt found none and was booked as a failed connection of its endpoint. Clients
 // that hold more than their part give way to attempts at once; those that hold no more keep it.
-func TestAttemptsFindDescriptorsBesideSilentClients(t *testing.T) {
-	s := newSockets(64, &Counters{})
+func TestLegsGetDescriptorsBesideSilentClients(t *testing.T) {
+	s := newDescriptorLimiter(64, &Counters{})
 	for range s.usable {
-		c, _ := connected(t, s)
-		assert.False(t, c.excess)
+		c, _ := acceptedClientIn(t, s)
+		assert.False(t, c.overLimit)
 	}
-	for range s.usable - s.clientsKeep() {
-		assert.True(t, s.takeUpstream())
+	for range s.usable - s.clientGuarantee() {
+		assert.True(t, s.acquireUpstream())
 	}
-	clients, upstream := s.held()
+	clients, upstream := s.connections()
 	assert.Equal(t, s.usable, clients+upstream)
-	assert.Equal(t, s.clientsKeep(), clients, "and no more")
-	assert.False(t, s.takeUpstream(), "they keep their part while they are not silent for long")
+	assert.Equal(t, s.clientGuarantee(), clients, "and no more")
+	assert.False(t, s.acquireUpstream(), "they keep their part while they are not silent for long")
 }
 
 // A client whose request waits whole takes the place of a silent one, even if that is silent for a moment only; half a head does not.
-func TestAWholeRequestTakesASilentOnesPlace(t *testing.T) {
+func TestWholeRequestEvictsASilentConnection(t *testing.T) {
 	for text, excess := range map[string]bool{"GET /look/x HTTP/1.1\r\nHo": true, "GET /look/x HTTP/1.1\r\nHost: h\r\n\r\n": false} {
-		s := newSockets(64, &Counters{})
+		s := newDescriptorLimiter(64, &Counters{})
 		for range s.usable {
-			connected(t, s)
+			acceptedClientIn(t, s)
 		}
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -61,9 +61,9 @@
 		require.NoError(t, err)
 		raw, err := near.(*net.TCPConn).SyscallConn()
 		require.NoError(t, err)
-		assert.Eventually(t, func() bool { return (&client{raw: raw}).look() == unread }, time.Second, time.Millisecond)
-		c := newClient(near.(*net.TCPConn), s)
-		assert.Equal(t, excess, c.excess, "%q", text)
+		assert.Eventually(t, func() bool { return (&clientConn{raw: raw}).peekState() == connUnread }, time.Second, time.Millisecond)
+		c := newClientConn(near.(*net.TCPConn), s)
+		assert.Equal(t, excess, c.overLimit, "%q", text)
 		c.Close()
 		far.Close()
 		ln.Close()
@@ -71,45 +71,45 @@
 }
 
 // What waits unread in the kernel is a request that was not looked at yet: its connection is not closed for room.
-func TestUnreadBytesKeepAConnection(t *testing.T) {
-	s := newSockets(64, &Counters{})
-	asks, far := connected(t, s)
-	quiet, _ := connected(t, s)
+func TestConnectionWithUnreadBytesIsNotEvicted(t *testing.T) {
+	s := newDescriptorLimiter(64, &Counters{})
+	sending, far := acceptedClientIn(t, s)
+	silent, _ := acceptedClientIn(t, s)
 	io.WriteString(far, "GET /look/x HTTP/1.1\r\n")
-	assert.Eventually(t, func() bool { return asks.look() == unread }, time.Second, time.Millisecond)
-	assert.True(t, s.shedSilent(anySilent))
-	assert.True(t, quiet.closed.Load(), "though it is the later one")
-	assert.False(t, s.shedSilent(anySilent))
-	assert.False(t, asks.closed.Load())
+	assert.Eventually(t, func() bool { return sending.peekState() == connUnread }, time.Second, time.Millisecond)
+	assert.True(t, s.evictSilent(anySilenceLimits))
+	assert.True(t, silent.closed.Load(), "though it is the later one")
+	assert.False(t, s.evictSilent(anySilenceLimits))
+	assert.False(t, sending.closed.Load())
 }
 
 // The longer the queue of those who wait to be accepted, the shorter silences are borne; with none the figures of before hold.
-func TestPatienceShrinksWithTheQueue(t *testing.T) {
-	s := newSockets(256, &Counters{})
+func TestSilenceLimitsShrinkWithTheAcceptQueue(t *testing.T) {
+	s := newDescriptorLimiter(256, &Counters{})
 	queued := 0
-	s.queued = func() int { return queued }
-	assert.Equal(t, silences{fresh: freshMost, idle: 0}, s.patience())
-	before := readingMost
+	s.acceptQueueLength = func() int { return queued }
+	assert.Equal(t, silenceLimits{phaseFresh: maxFreshSilence, phaseIdle: 0}, s.currentLimits())
+	before := maxReadingSilence
 	for _, queued = range []int{20, 50, 200, 2000} {
-		p := s.patience()
-		assert.Less(t, p[reading], before)
-		assert.LessOrEqual(t, p[fresh], p[reading])
-		assert.GreaterOrEqual(t, p[fresh], freshLeast)
-		before = p[reading]
+		limits := s.currentLimits()
+		assert.Less(t, limits[phaseReading], before)
+		assert.LessOrEqual(t, limits[phaseFresh], limits[phaseReading])
+		assert.GreaterOrEqual(t, limits[phaseFresh], minFreshSilence)
+		before = limits[phaseReading]
 	}
-	assert.Equal(t, readingLeast, before)
+	assert.Equal(t, minReadingSilence, before)
 }
 
 // An attempt that finds no descriptor waits for one as long as for a connection; if none comes, that says nothing of its endpoint.
-func TestAnAttemptWaitsForADescriptor(t *testing.T) {
-	u, s := testUpstream(t, 2*fixedSockets), newStandIn(t, say(fine, true))
-	t.Cleanup(func() { u.sockets.upstream = 0 })
-	for u.sockets.takeUpstream() {
+func TestLegWaitsForADescriptor(t *testing.T) {
+	u, s := testUpstream(t, 2*reservedDescriptors), newStandIn(t, say(fine, true))
+	t.Cleanup(func() { u.sockets.upstreamConns = 0 })
+	for u.sockets.acquireUpstream() {
 	}
-	time.AfterFunc(50*time.Millisecond, u.sockets.give)
+	time.AfterFunc(50*time.Millisecond, u.sockets.releaseUpstream)
 	_, fault := u.run(testLeg(u, s.Addr().String(), time.Second))
 	assert.Nil(t, fault)
-	for u.sockets.takeUpstream() {
+	for u.sockets.acquireUpstream() {
 	}
 	began := time.Now()
 	_, fault = u.run(testLeg(u, s.Addr().String(), time.Second))
@@ -121,33 +121,33 @@
 	assert.InDelta(t, u.dialTime.Seconds(), time.Since(began).Seconds(), 0.15)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.False(t, u.sockets.awaitUpstream(ctx))
+	assert.False(t, u.sockets.waitForUpstream(ctx))
 }
 
 // Where the kernel holds back silent connections, these take no descriptor for a second, and one that has asked is accepted at once.
-func TestSilentConnectionsAreHeldBack(t *testing.T) {
+func TestSilentConnectionsAreDeferred(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	l := newClientListener(ln.(*net.TCPListener), newSockets(100, &Counters{}), nil)
+	l := newClientListener(ln.(*net.TCPListener), newDescriptorLimiter(100, &Counters{}), nil)
 	defer l.Close()
-	if !l.defers {
+	if !l.deferring {
 		t.Skip("the kernel does not defer")
 	}
 	silent, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer silent.Close()
-	asks, err := net.Dial("tcp", ln.Addr().String())
+	sending, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
-	defer asks.Close()
-	io.WriteString(asks, "GET")
+	defer sending.Close()
+	io.WriteString(sending, "GET")
 	first, err := l.Accept()
 	require.NoError(t, err)
 	defer first.Close()
-	assert.Equal(t, asks.LocalAddr(), first.RemoteAddr())
-	assert.Zero(t, first.(*client).silent)
+	assert.Equal(t, sending.LocalAddr(), first.RemoteAddr())
+	assert.Zero(t, first.(*clientConn).deferredFor)
 	second, err := l.Accept()
 	require.NoError(t, err)
 	defer second.Close()
 	assert.Equal(t, silent.LocalAddr(), second.RemoteAddr())
-	assert.Equal(t, deferTime, second.(*client).silent, "its time to send a head has begun")
+	assert.Equal(t, acceptDeferTime, second.(*clientConn).deferredFor, "its time to send a head has begun")
 }
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -44,7 +44,7 @@
 
 // answerLast is how long a call waits for its first list: logic.AnswerPatience, or less where silence was set to less.
 func (d *lists) answerLast() time.Duration {
-	if seeded == "impatient" {
+	if injectedFault == "impatient" {
 		return time.Second
 	}
 	return min(time.Duration(logic.AnswerTimeout)*time.Millisecond, d.silence*answerSilences)
@@ -92,11 +92,11 @@
 		s := entry{
 			id: string(e.GetStringBytes("id")), addr: string(e.GetStringBytes("addr")),
 			zone: string(e.GetStringBytes("zone")), kind: string(e.GetStringBytes("kind")), cell: logic.CellID(e.GetInt("cell")),
-			running: string(e.GetStringBytes("state")) == "in_service" || seeded == "drains" && string(e.GetStringBytes("state")) == "terminating",
+			running: string(e.GetStringBytes("state")) == "in_service" || injectedFault == "drains" && string(e.GetStringBytes("state")) == "terminating",
 			gone:    string(e.GetStringBytes("state")) == "terminated",
 			weight:  e.GetFloat64("weight"), started: terms.Millis(e, "started_ms"),
 		}
-		if seeded == "cold" {
+		if injectedFault == "cold" {
 			s.started = 0
 		}
 		if s.id == "" {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -41,7 +41,7 @@
 // Each way in which a watch may end is told to the module, which asks again; what was known till then stays.
 func TestWatchEnds(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
-	good := chunk(known(s))
+	good := chunk(listOf(s))
 	for _, c := range []struct {
 		name   string
 		script func(net.Conn, *http.Request) bool
@@ -70,13 +70,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			d := newStandIn(t, c.script)
-			r := begin(t, known(s), func(start *Start) {
+			r := startSidecar(t, listOf(s), func(start *Start) {
 				start.Discovery, start.silence = d.Addr().String(), 100*time.Millisecond
 			})
 			assert.Eventually(t, func() bool { return d.requests.Load() >= 3 }, 10*time.Second, time.Millisecond)
 			first := <-d.seen
 			assert.Equal(t, "/discovery/hosts?watch=1&after=1", first.RequestURI)
-			assert.Equal(t, 200, r.status(ask("1", "GET", "look", "")))
+			assert.Equal(t, 200, r.status(requestText("1", "GET", "look", "")))
 		})
 	}
 }
@@ -85,17 +85,17 @@
 func TestHalfALine(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
 	d := newStandIn(t, func(c net.Conn, r *http.Request) bool {
-		whole := chunk(known(s))
+		whole := chunk(listOf(s))
 		c.Write([]byte(watchHead + whole + whole[:len(whole)/2]))
 		return silent(c, r)
 	})
 	began := time.Now()
-	r := begin(t, known(s), func(start *Start) {
+	r := startSidecar(t, listOf(s), func(start *Start) {
 		start.Discovery, start.silence = d.Addr().String(), time.Hour
 	})
 	assert.Eventually(t, func() bool { return d.requests.Load() >= 2 }, 5*time.Second, time.Millisecond)
 	assert.GreaterOrEqual(t, time.Since(began), lineTime)
-	assert.Equal(t, 200, r.status(ask("1", "GET", "look", "")))
+	assert.Equal(t, 200, r.status(requestText("1", "GET", "look", "")))
 }
 
 // Whatever a call did before, a change is known 6 s after discovery had it and could be reached: here from the failing call
@@ -148,7 +148,7 @@
 					return silent(conn, nil)
 				}
 			})
-			r := begin(t, known(s), func(start *Start) {
+			r := startSidecar(t, listOf(s), func(start *Start) {
 				start.Discovery, start.terms.Fleet, start.terms.AskWithin = d.Addr().String(), 300, 60000
 				start.terms.HasList = false // it asks at once
 			})
@@ -161,7 +161,7 @@
 				t.Fatal("discovery was never asked")
 			}
 			assert.Less(t, told.Sub(from), notifiedAfterReached)
-			assert.Equal(t, 503, r.status(ask("1", "GET", "look", "")))
+			assert.Equal(t, 503, r.status(requestText("1", "GET", "look", "")))
 		})
 	}
 }
@@ -171,7 +171,7 @@
 	a, b := newStandIn(t, say(fine, true)), newStandIn(t, say(fine, true))
 	at, bt := a.Addr().String(), b.Addr().String()
 	tell, d := telling(t)
-	r := begin(t, known(a), func(s *Start) { s.Discovery = d.Addr().String() })
+	r := startSidecar(t, listOf(a), func(s *Start) { s.Discovery = d.Addr().String() })
 	for n, c := range []struct {
 		name, line string
 		to         *standIn
@@ -194,7 +194,7 @@
 				time.Millisecond, c.name)
 		}
 		seen := [2]int64{a.requests.Load(), b.requests.Load()}
-		status := r.status(ask(fmt.Sprint(n), "GET", "look", ""))
+		status := r.status(requestText(fmt.Sprint(n), "GET", "look", ""))
 		if c.to == nil {
 			assert.Equal(t, 503, status, c.name)
 			assert.Equal(t, seen, [2]int64{a.requests.Load(), b.requests.Load()}, c.name)
@@ -229,7 +229,7 @@
 	defer close(tells[0])
 	defer close(tells[1])
 	var start *Start
-	r := begin(t, known(a), func(s *Start) { start, s.Discovery = s, d[0].Addr().String() })
+	r := startSidecar(t, listOf(a), func(s *Start) { start, s.Discovery = s, d[0].Addr().String() })
 	c := r.front.counters
 	told := func(n int, line string) {
 		before := c.lists.Load()
@@ -252,12 +252,12 @@
 	assert.Equal(t, "/discovery/hosts?watch=1", (<-d[1].seen).RequestURI, "its versions are its own")
 	assert.EqualValues(t, 1, c.reloadFaults.Load())
 	r.loop.post(moved{d[1].Addr().String()})
-	assert.Equal(t, 200, r.status(ask("1", "GET", "look", "")), "list and connections are kept")
+	assert.Equal(t, 200, r.status(requestText("1", "GET", "look", "")), "list and connections are kept")
 	told(0, listText(8, false, entryText("s0", at, "terminating")))
-	assert.Equal(t, 503, r.status(ask("2", "GET", "look", "")), "the old one's last words count")
+	assert.Equal(t, 503, r.status(requestText("2", "GET", "look", "")), "the old one's last words count")
 	told(1, listText(3, true, entryText("s1", bt, "in_service")))
 	<-overs[0]
-	assert.Equal(t, 200, r.status(ask("3", "GET", "look", "")))
+	assert.Equal(t, 200, r.status(requestText("3", "GET", "look", "")))
 	assert.EqualValues(t, 1, b.requests.Load())
 	r.loop.post(listLost{watch: r.loop.list.last + 1}) // a word of no watch in force
 	reload(d[0].Addr().String(), nil)
@@ -277,7 +277,7 @@
 	})
 	for _, fault := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EIO, syscall.ENOENT, syscall.EINTR, syscall.ENOMEM, syscall.ESTALE} {
 		var start *Start
-		r := begin(t, known(s), func(s *Start) { start = s })
+		r := startSidecar(t, listOf(s), func(s *Start) { start = s })
 		reads := atomic.Int64{}
 		again := make(chan os.Signal, 1)
 		ctx, end := context.WithCancel(context.Background())
@@ -288,7 +288,7 @@
 			return &Start{Discovery: d.Addr().String(), Listen: start.Listen}, nil
 		})
 		again <- syscall.SIGHUP
-		within(t, fault.Error(), func() bool { return r.front.counters.listVersion.Load() == 7 })
+		eventually(t, fault.Error(), func() bool { return r.front.counters.listVersion.Load() == 7 })
 		assert.EqualValues(t, 4, reads.Load(), fault)
 		assert.EqualValues(t, 1, r.front.counters.reloads.Load(), fault)
 		end()
@@ -298,20 +298,20 @@
 // probe looks at what belongs to the loop.
 type probe func(l *loop)
 
-func (p probe) happen(l *loop) { p(l) }
+func (p probe) handle(l *loop) { p(l) }
 
 // All day endpoints are replaced under new ids, some at the address of one that has gone: what has left is let go, and a
 // new one shares nothing with it, its idle connections neither.
 func TestReplacedEndpoints(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
 	at := s.Addr().String()
-	r := begin(t, known(s), nil)
+	r := startSidecar(t, listOf(s), nil)
 	tell := func(full bool, servers ...entry) {
 		r.loop.post(listing{inventory: inventory{full: full, servers: servers}, fromDisk: true})
 	}
 	for n := range 50 {
 		was, next := fmt.Sprint("s", n), fmt.Sprint("s", n+1)
-		assert.Equal(t, 200, r.status(ask(was, "GET", "look", "")))
+		assert.Equal(t, 200, r.status(requestText(was, "GET", "look", "")))
 		assert.EqualValues(t, n+1, s.connections.Load())
 		switch n % 3 {
 		case 0:
@@ -325,8 +325,8 @@
 	}
 	seen := make(chan [4]int)
 	r.loop.post(probe(func(l *loop) {
-		_, links := l.up.sockets.held()
-		seen <- [4]int{len(l.up.endpoints), len(l.list.addrs), len(l.list.named), links}
+		_, links := l.upstream.sockets.connections()
+		seen <- [4]int{len(l.upstream.endpoints), len(l.list.addrs), len(l.list.named), links}
 	}))
 	assert.Equal(t, [4]int{1, 1, 1, 0}, <-seen)
 }
@@ -334,7 +334,7 @@
 // Discovery that answers a whole fleet with 503 for minutes must not fill the logs with a line for each call.
 func TestOneLineWhenTheListIsNotHeard(t *testing.T) {
 	core, lines := observer.New(zap.InfoLevel)
-	books, c := newSockets(100, &Counters{}), &Counters{}
+	books, c := newDescriptorLimiter(100, &Counters{}), &Counters{}
 	l := newLoop(t.Context(), logic.Terms{}, nil, newUpstream(200, 10000, books, c), newLists("127.0.0.1:1", time.Second, nil), hands.New("", zap.NewNop()), c,
 		zap.New(core))
 	told := func() (said []string) {
@@ -345,11 +345,11 @@
 	}
 	for range 2 {
 		for range 5 {
-			listLost{cause: io.EOF}.happen(l)
+			listLost{cause: io.EOF}.handle(l)
 		}
 		assert.Equal(t, []string{"watch ended"}, told())
-		listing{inventory: inventory{version: 3}}.happen(l)
-		listing{inventory: inventory{version: 4}}.happen(l)
+		listing{inventory: inventory{version: 3}}.handle(l)
+		listing{inventory: inventory{version: 4}}.handle(l)
 		assert.Equal(t, []string{"the list is heard again"}, told())
 	}
 	assert.EqualValues(t, 10, c.listLost.Load(), "each is counted")
@@ -413,7 +413,7 @@
 		return entries
 	}
 	tell, d := telling(t)
-	r := begin(t, "null", func(start *Start) { start.Discovery, start.terms.Fleet = d.Addr().String(), 1024 })
+	r := startSidecar(t, "null", func(start *Start) { start.Discovery, start.terms.Fleet = d.Addr().String(), 1024 })
 	for n, c := range []struct {
 		name, line string
 		listed     int64
@@ -427,9 +427,9 @@
 		{"a whole one of others", listText(6, true, named(5000, 5000+many, "in_service")...), many, 200},
 	} {
 		tell <- c.line
-		within(t, c.name, func() bool { return r.front.counters.listVersion.Load() == int64(n+1) })
+		eventually(t, c.name, func() bool { return r.front.counters.listVersion.Load() == int64(n+1) })
 		assert.Equal(t, c.listed, r.front.counters.endpoints.Load(), c.name)
-		assert.Equal(t, c.status, r.status(ask(fmt.Sprint(n), "GET", "look", "")), c.name)
+		assert.Equal(t, c.status, r.status(requestText(fmt.Sprint(n), "GET", "look", "")), c.name)
 	}
-	assert.Len(t, r.loop.up.all(), many)
+	assert.Len(t, r.loop.upstream.all(), many)
 }
--- a/internal/sidecar/lease_calls_test.go
+++ b/internal/sidecar/lease_calls_test.go
@@ -27,7 +27,7 @@
 func newStillLoop(takesOver bool) *stillLoop {
 	ctx, end := context.WithCancel(context.Background())
 	end()
-	books, c := newSockets(100, &Counters{}), &Counters{}
+	books, c := newDescriptorLimiter(100, &Counters{}), &Counters{}
 	t := logic.Terms{PullList: true, TakesOver: takesOver, DrainGrace: millis(leaseGrace), MaxListWait: millis(longestWait), AskWithin: 1000, Fleet: 1, TimerTick: 1,
 		Products: []logic.Product{{Expected: 500, Abandon: 1000, Value: 1}},
 		Notified: logic.NotificationBounds{Reached: millis(notifiedAfterReached), Moved: millis(notifiedAfterMoved), Ended: millis(notifiedAfterEnded)}}
@@ -36,9 +36,9 @@
 	s := &stillLoop{loop: l, from: l.now}
 	list := inventory{version: 7, full: true, servers: []entry{{id: "s0", addr: "127.0.0.1:2", running: true}}}
 	if takesOver {
-		siblingTold{knowledge{inventory: list, discovery: l.list.addr, following: true}}.happen(l)
+		siblingTold{knowledge{inventory: list, discovery: l.list.addr, following: true}}.handle(l)
 	} else {
-		listing{inventory: list, watch: l.list.last}.happen(l)
+		listing{inventory: list, watch: l.list.last}.handle(l)
 	}
 	return s
 }
@@ -48,13 +48,13 @@
 	s.now = s.from + after
 	s.module.SetNow(s.now)
 	for s.timers.Len() > 0 && s.timers[0].at <= s.now {
-		s.module.TimerFired(heap.Pop(&s.timers).(alarm).id)
+		s.module.TimerFired(heap.Pop(&s.timers).(timer).id)
 	}
 }
 
 // fail ends the newest call.
 func (s *stillLoop) fail(stage callStage, cause error) {
-	listLost{watch: s.list.last, cause: &callError{Stage: stage, Cause: cause, Began: time.Now()}}.happen(s.loop)
+	listLost{watch: s.list.last, cause: &callError{Stage: stage, Cause: cause, Began: time.Now()}}.handle(s.loop)
 }
 
 func TestNoRequestToADrainWhileTheProcessHasNoDescriptorForACall(t *testing.T) {
@@ -71,7 +71,7 @@
 	s := newStillLoop(false)
 	s.fail(following, syscall.ECONNRESET)
 	s.at(500)
-	listReached{watch: s.list.last}.happen(s.loop)
+	listReached{watch: s.list.last}.handle(s.loop)
 	s.fail(awaitingHead, os.ErrDeadlineExceeded)
 	for after := logic.Millis(1000); after <= 8000; after += 200 {
 		s.at(after)
@@ -83,7 +83,7 @@
 func TestTheSuspensionOfANewProcessIsNotSpentBeforeItServes(t *testing.T) {
 	s := newStillLoop(true)
 	s.at(300)
-	listReached{watch: s.list.last}.happen(s.loop)
+	listReached{watch: s.list.last}.handle(s.loop)
 	for after := logic.Millis(400); after <= millis(heardWait+notifiedAfterEnded+leaseGrace+leaseSlack); after += 50 {
 		s.at(after)
 	}
--- a/internal/sidecar/lease_test.go
+++ b/internal/sidecar/lease_test.go
@@ -24,7 +24,7 @@
 
 // leaseTrial is a sidecar under load that knows one endpoint, and a discovery that plays a script for each call.
 type leaseTrial struct {
-	*running
+	*testSidecar
 	endpoint  *standIn
 	discovery *standIn
 	calls     atomic.Int64
@@ -48,7 +48,7 @@
 		call(l, l.calls.Add(1), c)
 		return false
 	})
-	l.running = begin(t, known(l.endpoint), func(s *Start) {
+	l.testSidecar = startSidecar(t, listOf(l.endpoint), func(s *Start) {
 		s.Discovery, s.terms.DrainGrace, s.terms.HasList = l.discovery.Addr().String(), millis(leaseGrace), false
 	})
 	return l
@@ -69,7 +69,7 @@
 		c := l.dial()
 		all.Go(func() {
 			status := 0
-			if got, _ := exchangeOn(c, ask(fmt.Sprint(n), "GET", "look", "")); got != nil {
+			if got, _ := exchangeOn(c, requestText(fmt.Sprint(n), "GET", "look", "")); got != nil {
 				status = got.StatusCode
 			}
 			c.Close()
@@ -154,9 +154,9 @@
 		ended <- time.Now()
 		c.Write([]byte(endsOrderly))
 	})
-	within(t, "the first list", func() bool { return l.front.counters.listVersion.Load() == 7 })
-	l.loop.postFirst(moved{next.Addr().String()})
-	within(t, "the next discovery is called", func() bool { return next.requests.Load() > 0 })
+	eventually(t, "the first list", func() bool { return l.front.counters.listVersion.Load() == 7 })
+	l.loop.postUrgent(moved{next.Addr().String()})
+	eventually(t, "the next discovery is called", func() bool { return next.requests.Load() > 0 })
 	time.Sleep(100 * time.Millisecond)
 	close(end)
 	l.expectDrainKept((<-ended).Add(notifiedAfterEnded), leaseLooked)
@@ -252,7 +252,7 @@
 	for n := range 2 {
 		next := newStandIn(t, silent)
 		time.AfterFunc(time.Until(from.Add(notifiedAfterEnded+leaseGrace+time.Duration(1+n)*500*time.Millisecond)), func() {
-			l.loop.postFirst(moved{next.Addr().String()})
+			l.loop.postUrgent(moved{next.Addr().String()})
 		})
 	}
 	l.expectDrainKept(from.Add(notifiedAfterEnded), leaseLooked)
--- a/internal/sidecar/list_events.go
+++ b/internal/sidecar/list_events.go
@@ -32,7 +32,7 @@
 // happen books a list or a change. In one that is older than what was told only what takes an endpoint out counts: a
 // drain that was told must not be undone by a word from before it. A new watch that begins with older changes is that of a
 // service which counts anew, and is asked for all it has; a whole list says that by itself.
-func (e listing) happen(l *loop) {
+func (e listing) handle(l *loop) {
 	took := l.list.age(e.watch)
 	believed, first := l.list.believes(e.watch)
 	if !e.fromDisk && !believed {
@@ -55,10 +55,10 @@
 		l.endOutage(e.version, took)
 	}
 	if len(out) > 0 {
-		l.log.Info("endpoints drain or are gone", zap.Int("count", len(out)), zap.Strings("first", out[:min(len(out), loggedEndpoints)]),
+		l.log.Info("endpoints drain or are gone", zap.Int("count", len(out)), zap.Strings("first", out[:min(len(out), maxLoggedEndpoints)]),
 			zap.Int64("version", e.version), zap.Bool("whole_list", e.full), zap.Bool("from_sibling", e.watch == fromSibling))
 	}
-	l.up.share(len(l.list.named))
+	l.upstream.share(len(l.list.named))
 	l.module.ListEnds(e.fromDisk)
 	e.publish(l)
 	switch whole = true; {
@@ -91,7 +91,7 @@
 	}
 	for _, id := range l.list.missing(e.version, now) {
 		out = append(out, string(id))
-		l.up.drop(id)
+		l.upstream.drop(id)
 	}
 	return out
 }
@@ -111,13 +111,13 @@
 	out = health != logic.Running && l.list.entries[id].running
 	if s.gone {
 		health = logic.Gone
-		l.up.drop(id)
+		l.upstream.drop(id)
 		l.list.drop(id)
 	} else {
-		l.up.list(id, s.addr, health == logic.Running)
-		l.up.stands(id, s.zone, s.kind)
+		l.upstream.list(id, s.addr, health == logic.Running)
+		l.upstream.stands(id, s.zone, s.kind)
 		l.list.mark(id, s)
-		l.hands.Listed(s.id)
+		l.operatorDrains.Listed(s.id)
 	}
 	l.module.Listed(id, health, l.list.zones.Zone([]byte(s.zone)), l.list.zones.Kind([]byte(s.kind)), s.cell, s.weight, s.started)
 	return out
@@ -128,20 +128,20 @@
 	l.counters.lists.Add(1)
 	l.counters.listVersion.Store(e.version)
 	l.counters.endpoints.Store(int64(len(l.list.named)))
-	l.loaded.Store(true)
+	l.listLoaded.Store(true)
 	if !e.fromDisk && e.watch != fromSibling {
-		l.heard.Store(true)
+		l.watchHeard.Store(true)
 	}
 	l.changed()
 }
 
-func (e listReached) happen(l *loop) {
+func (e listReached) handle(l *loop) {
 	if call, open := l.list.calls[e.watch]; open && call.moves == l.list.moves {
 		l.module.ListCallAccepted(e.answering)
 	}
 }
 
-func (e listLost) happen(l *loop) {
+func (e listLost) handle(l *loop) {
 	now := time.Now()
 	call, open := l.list.calls[e.watch]
 	delete(l.list.calls, e.watch)
@@ -206,7 +206,7 @@
 		zap.String("addr", l.list.addr), zap.Float64("answered_in_ms", milliseconds(took)))...)
 }
 
-func (e moved) happen(l *loop) {
+func (e moved) handle(l *loop) {
 	l.list.reloaded = clock.Monotonic()
 	l.list.configured = l.list.reloaded
 	defer l.changed()
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -16,51 +16,51 @@
 // clientListener is the listener with its count of descriptors. It may be held shut for a while: who connects then waits in the queue.
 type clientListener struct {
 	*net.TCPListener
-	sockets *sockets
-	mu      sync.Mutex
-	changed sync.Cond
-	shut    bool
-	closed  bool
-	opened  time.Time
-	last    atomic.Int64 // when somebody last came, nanoseconds after that
-	accept  func() (*net.TCPConn, error)
-	defers  bool // the kernel holds back connections on which nothing has come
-	log     *zap.Logger
+	descriptors *descriptorLimiter
+	mu          sync.Mutex
+	changed     sync.Cond
+	paused      bool
+	closed      bool
+	openedAt    time.Time
+	lastAccept  atomic.Int64 // when somebody last came, nanoseconds after that
+	acceptTCP   func() (*net.TCPConn, error)
+	deferring   bool // the kernel holds back connections on which nothing has come
+	log         *zap.Logger
 }
 
 // quiet is how long nobody has come.
-func (l *clientListener) quiet() time.Duration {
-	return time.Since(l.opened) - time.Duration(l.last.Load())
+func (l *clientListener) sinceLastAccept() time.Duration {
+	return time.Since(l.openedAt) - time.Duration(l.lastAccept.Load())
 }
 
-func newClientListener(ln *net.TCPListener, s *sockets, log *zap.Logger) *clientListener {
-	l := &clientListener{TCPListener: ln, sockets: s, opened: time.Now(), accept: ln.AcceptTCP, log: log}
+func newClientListener(ln *net.TCPListener, s *descriptorLimiter, log *zap.Logger) *clientListener {
+	l := &clientListener{TCPListener: ln, descriptors: s, openedAt: time.Now(), acceptTCP: ln.AcceptTCP, log: log}
 	l.changed.L = &l.mu
-	l.defers = deferAccept(ln)
-	s.queued = func() int { return acceptQueue(ln) }
+	l.deferring = deferAccept(ln)
+	s.acceptQueueLength = func() int { return acceptQueueLength(ln) }
 	return l
 }
 
 // hold stops accepting, or accepts again.
-func (l *clientListener) hold(shut bool) {
+func (l *clientListener) setPaused(paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.shut == shut || l.closed {
+	if l.paused == paused || l.closed {
 		return
 	}
-	l.shut = shut
+	l.paused = paused
 	l.changed.Broadcast()
-	if shut {
+	if paused {
 		l.SetDeadline(time.Unix(1, 0))
 	} else {
 		l.SetDeadline(time.Time{})
 	}
 }
 
-func (l *clientListener) held() bool {
+func (l *clientListener) isPaused() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.shut
+	return l.paused
 }
 
 func (l *clientListener) Close() error {
@@ -73,24 +73,24 @@
 
 // Accept returns the next client. It returns an error only when it is closed.
 func (l *clientListener) Accept() (net.Conn, error) {
-	retry := acceptRetry{counters: l.sockets.counters, log: l.log}
+	retry := acceptRetry{counters: l.descriptors.counters, log: l.log}
 	for {
 		l.mu.Lock()
-		for l.shut && !l.closed {
+		for l.paused && !l.closed {
 			l.changed.Wait()
 		}
 		l.mu.Unlock()
-		l.sockets.await()
-		conn, err := l.accept()
+		l.descriptors.waitForClientRoom()
+		conn, err := l.acceptTCP()
 		switch {
 		case err == nil:
-			l.last.Store(int64(time.Since(l.opened)))
-			c := newClient(conn, l.sockets)
-			if l.defers && c.look() == nothing {
-				c.silent = deferTime
+			l.lastAccept.Store(int64(time.Since(l.openedAt)))
+			c := newClientConn(conn, l.descriptors)
+			if l.deferring && c.peekState() == connOpen {
+				c.deferredFor = acceptDeferTime
 			}
 			return c, nil
-		case l.over():
+		case l.isClosed():
 			return nil, err
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			continue
@@ -99,7 +99,7 @@
 	}
 }
 
-func (l *clientListener) over() bool {
+func (l *clientListener) isClosed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -107,7 +107,7 @@
 	l.counters.messagesLost.Add(1)
 }
 
-func (e heard) happen(l *loop) {
+func (e heard) handle(l *loop) {
 	l.counters.messagesHeard.Add(1)
 	l.module.PeerMessage(e.from, e.text)
 }
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -115,12 +115,12 @@
 		t.Cleanup(func() { c.Close() })
 		ends[n], addrs[n] = c, c.LocalAddr()
 	}
-	pool := make([]*running, 2)
+	pool := make([]*testSidecar, 2)
 	var push [2]net.Conn
 	for n := range pool {
 		here, there := net.Pipe()
 		push[n] = here
-		pool[n] = begin(t, "null", func(s *Start) {
+		pool[n] = startSidecar(t, "null", func(s *Start) {
 			s.terms.Peers, s.terms.Fleet, s.terms.SidecarNumber, s.terms.PullList = true, 2, logic.PeerID(n), false
 			s.messages = &datagrams{ends[n], logic.PeerID(n), addrs}
 			s.lists = pushed{there}
@@ -134,14 +134,14 @@
 			settled(t, "the list", func() bool { return pool[n].loop.counters.lists.Load() > heard })
 		}
 	}
-	tell(known(slow.Listener))
+	tell(listOf(slow.Listener))
 	assert.Zero(t, pool[0].loop.counters.listLost.Load(), "nobody is asked for a list")
 	held := pool[0].dial()
-	fmt.Fprint(held, ask("1", "GET", "look/1", ""))
+	fmt.Fprint(held, requestText("1", "GET", "look/1", ""))
 	settled(t, "the leg is told of", func() bool { return pool[1].loop.counters.messagesHeard.Load() > 0 })
-	tell(known(slow.Listener, quick.Listener))
+	tell(listOf(slow.Listener, quick.Listener))
 	for n := range 5 {
-		assert.Equal(t, 200, pool[1].status(ask(fmt.Sprint("q", n), "GET", "look/1", "")), "the idle one serves")
+		assert.Equal(t, 200, pool[1].status(requestText(fmt.Sprint("q", n), "GET", "look/1", "")), "the idle one serves")
 	}
 	for _, text := range []string{"", "\x00", "\x00short", "\x00" + strings.Repeat("x", 11), "\x09" + strings.Repeat("y", 2000)} {
 		for range 50 {
@@ -149,7 +149,7 @@
 		}
 	}
 	settled(t, "too long a message", func() bool { return pool[1].loop.counters.messagesLost.Load() > 0 })
-	assert.Equal(t, 200, pool[1].status(ask("last", "GET", "look/1", "")))
+	assert.Equal(t, 200, pool[1].status(requestText("last", "GET", "look/1", "")))
 	assert.Zero(t, pool[1].loop.counters.panics.Load())
 }
 
@@ -166,17 +166,17 @@
 		return false
 	})
 	defer close(cut)
-	text := strings.NewReplacer("%KNOWN%", known(a), "%SOCKETS%", "1024", `"registry-mode":"on_request"`, `"registry-mode":"pushed"`,
+	text := strings.NewReplacer("%KNOWN%", listOf(a), "%SOCKETS%", "1024", `"registry-mode":"on_request"`, `"registry-mode":"pushed"`,
 		`"fleet-size":1`, `"fleet-size":300`, "127.0.0.1:1", agent.Addr().String(), `"ask-within":1000.0`, `"drain-grace":300.0`).Replace(startText)
 	s, err := Decode([]byte(text))
 	require.NoError(t, err)
 	require.NoError(t, s.lacks())
 	assert.Less(t, float64(s.terms.AskWithin), 300.0, "asked again before a drain is broken")
-	r := begin(t, known(a), func(t *Start) { t.Discovery, t.terms, t.names, t.pushed = s.Discovery, s.terms, s.names, true })
+	r := startSidecar(t, listOf(a), func(t *Start) { t.Discovery, t.terms, t.names, t.pushed = s.Discovery, s.terms, s.names, true })
 	<-agent.seen
-	settled(t, "its list", func() bool { return r.loop.heard.Load() })
+	settled(t, "its list", func() bool { return r.loop.watchHeard.Load() })
 	for n := range 4 {
-		assert.Equal(t, 200, r.status(ask(fmt.Sprint("p", n), "GET", "look/1", "")))
+		assert.Equal(t, 200, r.status(requestText(fmt.Sprint("p", n), "GET", "look/1", "")))
 	}
 	assert.Zero(t, a.requests.Load(), "it drains")
 	assert.EqualValues(t, 4, b.requests.Load())
--- a/internal/sidecar/probe.go
+++ b/internal/sidecar/probe.go
@@ -23,16 +23,16 @@
 	load logic.Load
 }
 
-func (e probed) happen(l *loop) {
-	l.probes--
+func (e probed) handle(l *loop) {
+	l.openProbes--
 	l.module.Probed(e.to, e.ok, e.load)
 }
 
 // Probe asks an endpoint for its load; whatever becomes of it, one probed comes back.
 func (l *loop) Probe(id logic.EndpointID) {
-	to := l.up.find(id)
-	l.probes++
-	if to == nil || l.probes > 2*len(l.list.named)+8 {
+	to := l.upstream.find(id)
+	l.openProbes++
+	if to == nil || l.openProbes > 2*len(l.list.named)+8 {
 		go l.post(probed{to: id})
 		return
 	}
@@ -45,7 +45,7 @@
 	g.ctx, g.cancel = context.WithCancel(l.ctx)
 	go func() {
 		defer g.cancel()
-		r, fault := l.up.run(g)
+		r, fault := l.upstream.run(g)
 		e := probed{to: id, ok: fault == nil && r.flow == nil}
 		if e.ok {
 			e.load = loadOf(r.body)
--- a/internal/sidecar/probe_test.go
+++ b/internal/sidecar/probe_test.go
@@ -41,7 +41,7 @@
 	} {
 		s := newStandIn(t, c.script)
 		u := testUpstream(t, 64)
-		l := &loop{queue: make(chan event, 4), up: u, list: &lists{}, counters: u.counters, log: zap.NewNop(), ctx: ctx, started: time.Now()}
+		l := &loop{queue: make(chan event, 4), upstream: u, list: &lists{}, counters: u.counters, log: zap.NewNop(), ctx: ctx, started: time.Now()}
 		if c.known {
 			u.list("e", s.Addr().String(), true)
 		}
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -19,65 +19,65 @@
 )
 
 // dropped are headers of one connection only, and those that this program writes itself.
-var dropped = map[string]bool{
+var notForwarded = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true, "Te": true,
 	"Trailer": true, "Upgrade": true, "Expect": true, "Content-Length": true, "Request-Timeout": true,
 }
 
 // kept are headers that are passed on even if a client names them as of one hop.
-var kept = map[string]bool{"Request-Id": true, "Idempotency-Key": true, "Request-Class": true}
+var alwaysForwarded = map[string]bool{"Request-Id": true, "Idempotency-Key": true, "Request-Class": true}
 
 // read makes an exchange of a request, or says why it is none.
-func (s *front) read(w http.ResponseWriter, r *http.Request, came time.Time) (x *exchange, status int, why string) {
-	id, wait := r.Header.Values("Request-Id"), duration(r.Header.Values("Request-Timeout"))
-	class, product, named := s.product(r)
+func (s *clientServer) readExchange(w http.ResponseWriter, r *http.Request, receivedAt time.Time) (x *exchange, status int, reason string) {
+	id, timeout := r.Header.Values("Request-Id"), parseTimeout(r.Header.Values("Request-Timeout"))
+	class, product, named := s.productOf(r)
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodPost:
 		return nil, http.StatusMethodNotAllowed, "GET and POST only"
-	case len(id) != 1 || id[0] == "" || len(id[0]) > idMost:
+	case len(id) != 1 || id[0] == "" || len(id[0]) > maxRequestIDBytes:
 		return nil, http.StatusBadRequest, "one Request-Id is needed"
-	case wait <= 0:
+	case timeout <= 0:
 		return nil, http.StatusBadRequest, "one Request-Timeout is needed, such as 480m or 480000u"
 	case !named:
 		return nil, http.StatusNotFound, "class and path must name one product" // endpoints would serve it, or void it
-	case r.ContentLength > longMost:
+	case r.ContentLength > maxStreamedBytes:
 		return nil, http.StatusRequestEntityTooLarge, "body too long"
 	}
-	if most := s.longest(product); most > 0 {
-		wait = min(wait, most) // nobody is promised more, and exchange, body and alarm would stay as long
+	if maxBytes := s.maxTimeout(product); maxBytes > 0 {
+		timeout = min(timeout, maxBytes) // nobody is promised more, and exchange, body and alarm would stay as long
 	}
 	control := http.NewResponseController(w)
-	from := &paced{from: r.Body, control: control, by: came.Add(bodyStart)}
-	if k, ok := r.Context().Value(clientKey{}).(*client); ok && k.readBy.After(from.by) {
-		from.by = k.readBy
+	source := &minRateReader{source: r.Body, control: control, startBy: receivedAt.Add(bodyStartTimeout)}
+	if conn, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok && conn.readDeadline.After(source.startBy) {
+		source.startBy = conn.readDeadline
 	}
 	var body []byte
-	var rest *incoming
+	var rest *streamedRequest
 	var err error
-	sent := came
-	if r.ContentLength > s.keptMost {
-		rest = &incoming{flow: newFlow(), length: r.ContentLength}
+	completeAt := receivedAt
+	if r.ContentLength > s.maxBufferedBodyBytes {
+		rest = &streamedRequest{bodyPipe: newBodyPipe(), length: r.ContentLength}
 	} else {
-		most := s.keptMost
+		maxBytes := s.maxBufferedBodyBytes
 		if r.ContentLength < 0 {
-			most = bodyMost
+			maxBytes = bodyMost
 		}
-		body, err = io.ReadAll(io.LimitReader(from, most+1))
-		if sent = time.Now(); int64(len(body)) > most {
-			rest = &incoming{flow: newFlow(), length: -1}
+		body, err = io.ReadAll(io.LimitReader(source, maxBytes+1))
+		if completeAt = time.Now(); int64(len(body)) > maxBytes {
+			rest = &streamedRequest{bodyPipe: newBodyPipe(), length: -1}
 		} else {
 			control.SetReadDeadline(time.Time{})
-			if k, ok := r.Context().Value(clientKey{}).(*client); ok && err == nil {
-				k.whole.Store(true)
+			if conn, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok && err == nil {
+				conn.bodyEndRead.Store(true)
 			}
 		}
 	}
 	// An answer that keeps to a time counted from the end of a standstill, or of a wait to be accepted, comes too late.
-	k, _ := r.Context().Value(clientKey{}).(*client)
-	sent = k.earlier(sent.Add(-s.pace.behind(sent.Sub(s.loop.started))))
-	var slow net.Error
+	conn, _ := r.Context().Value(clientConnKey{}).(*clientConn)
+	completeAt = conn.earlierReceipt(completeAt.Add(-s.stalls.readDelay(completeAt.Sub(s.loop.started))))
+	var netErr net.Error
 	switch {
-	case errors.As(err, &slow) && slow.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return nil, http.StatusRequestTimeout, "the body did not come in time"
 	case err != nil:
 		return nil, http.StatusBadRequest, "broken body"
@@ -91,12 +91,12 @@
 	for _, list := range r.Header.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
 			// Never what tells repeats apart: without it the endpoint would let an effect happen twice.
-			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); !kept[name] {
+			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); !alwaysForwarded[name] {
 				r.Header.Del(name)
 			}
 		}
 	}
-	r.Header.WriteSubset(&head, dropped)
+	r.Header.WriteSubset(&head, notForwarded)
 	switch {
 	case rest != nil && rest.length < 0:
 		head.WriteString("Transfer-Encoding: chunked\r\n")
@@ -107,29 +107,29 @@
 	}
 	x = &exchange{
 		id: logic.ExchangeID(id[0]), product: product, tenant: s.names.Tenant([]byte(r.Header.Get("Tenant"))),
-		key:  terms.Key([]byte(figure(r.Header.Get("Request-Info"), "path-key"))),
-		cost: costHint(r.Header.Get("Request-Info")), abandon: s.loop.at(sent) + wait, wait: wait, answer: make(chan answer, 1), coming: rest != nil,
+		key:  terms.Key([]byte(infoValue(r.Header.Get("Request-Info"), "path-key"))),
+		cost: costHint(r.Header.Get("Request-Info")), deadline: s.loop.at(completeAt) + timeout, clientTimeout: timeout, answer: make(chan answer, 1), bodyPending: rest != nil,
 		request: request{method: r.Method, class: class, head: head.Bytes(), body: body, rest: rest},
 	}
 	if rest != nil {
 		control.EnableFullDuplex() // an answer may come before the request's end
-		x.from = from
+		x.bodySource = source
 	}
 	return x, 0, ""
 }
 
 // costHint finds the work in a request's further figures; what is no positive number is no hint.
 func costHint(info string) float64 {
-	if cost, err := strconv.ParseFloat(figure(info, "cost"), 64); err == nil && cost > 0 && !math.IsInf(cost, 0) {
+	if cost, err := strconv.ParseFloat(infoValue(info, "cost"), 64); err == nil && cost > 0 && !math.IsInf(cost, 0) {
 		return cost
 	}
 	return 0
 }
 
 // figure is the value of a request's further figure, "" if it has none of that name.
-func figure(info, wanted string) string {
+func infoValue(info, name string) string {
 	for part := range strings.SplitSeq(info, ",") {
-		if name, value, _ := strings.Cut(strings.TrimSpace(part), "="); name == wanted {
+		if key, value, _ := strings.Cut(strings.TrimSpace(part), "="); key == name {
 			return value
 		}
 	}
@@ -138,14 +138,14 @@
 
 // product is named by class and path. It is taken for unknown, and so for single-use, unless the method agrees too: what is
 // repeated by mistake has two effects.
-func (s *front) product(r *http.Request) (class, p logic.ProductID, named bool) {
-	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	name := first
-	if list := r.Header["Request-Class"]; len(list) > 0 {
-		name = list[0]
+func (s *clientServer) productOf(r *http.Request) (class, p logic.ProductID, named bool) {
+	pathRoot, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	name := pathRoot
+	if classes := r.Header["Request-Class"]; len(classes) > 0 {
+		name = classes[0]
 	}
 	p = s.names.Product([]byte(name))
-	if p < 0 || name != first || len(r.Header["Request-Class"]) > 1 {
+	if p < 0 || name != pathRoot || len(r.Header["Request-Class"]) > 1 {
 		return -1, -1, false
 	}
 	switch effect := s.products[p].Effect; {
@@ -157,18 +157,18 @@
 }
 
 // longest is how long the product's clients wait at the most; for an unknown one, that of any.
-func (s *front) longest(p logic.ProductID) (most logic.Millis) {
+func (s *clientServer) maxTimeout(p logic.ProductID) (limit logic.Millis) {
 	if p >= 0 {
 		return s.products[p].Abandon
 	}
 	for _, q := range s.products {
-		most = max(most, q.Abandon)
+		limit = max(limit, q.Abandon)
 	}
-	return most
+	return limit
 }
 
 // duration reads a number with its unit; 0 stands for anything that is none.
-func duration(values []string) logic.Millis {
+func parseTimeout(values []string) logic.Millis {
 	if len(values) != 1 || len(values[0]) < 2 {
 		return 0
 	}
@@ -182,7 +182,7 @@
 	} else if values[0][last] != 'm' {
 		return 0
 	}
-	if err != nil || math.IsNaN(n) || n <= 0 || n > mostWait {
+	if err != nil || math.IsNaN(n) || n <= 0 || n > maxClientTimeoutMs {
 		return 0
 	}
 	return logic.Millis(n)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -21,127 +21,129 @@
 )
 
 const (
-	takeTime = 5 * time.Second // for an answer to be taken
-	idMost   = 200             // bytes: ids are remembered
-	mostWait = 3600 * 1000.    // milliseconds; a client that says it waits longer is mistaken
-	comeBack = "0.500"         // seconds, where there is no room to ask the module
+	answerWriteTimeout       = 5 * time.Second // for an answer to be taken
+	maxRequestIDBytes        = 200             // bytes: ids are remembered
+	maxClientTimeoutMs       = 3600 * 1000.    // milliseconds; a client that says it waits longer is mistaken
+	defaultRetryAfterSeconds = "0.500"         // seconds, where there is no room to ask the module
 )
 
 // front answers clients.
-type front struct {
-	loop      *loop
-	names     *terms.Names
-	products  []logic.Product
-	sockets   *sockets
-	counters  *Counters
-	log       *zap.Logger
-	listener  atomic.Pointer[clientListener]
-	pair      *pair                     // nil where no other process may come
-	open      atomic.Bool               // the door takes clients
-	succeeded atomic.Bool               // another process has the door
-	handlers  atomic.Int64              // requests whose head was read and that are not ended
-	transfers atomic.Int64              // of these, long requests that still come and long answers on their way
-	inHand    atomic.Int64              // requests taken and not ended, answers on their way included
-	until     atomic.Pointer[time.Time] // once ending: nobody waits longer, and after it nothing is taken
-	pace      pace
-	bodies    atomic.Int64 // bytes of requests in hand
-	bodyRoom  int64
-	keptMost  int64 // bytes of a request that is kept whole
+type clientServer struct {
+	loop                 *loop
+	names                *terms.Names
+	products             []logic.Product
+	descriptors          *descriptorLimiter
+	counters             *Counters
+	log                  *zap.Logger
+	listener             atomic.Pointer[clientListener]
+	pair                 *pair                     // nil where no other process may come
+	accepting            atomic.Bool               // the door takes clients
+	replaced             atomic.Bool               // another process has the door
+	activeHandlers       atomic.Int64              // requests whose head was read and that are not ended
+	transfers            atomic.Int64              // of these, long requests that still come and long answers on their way
+	activeRequests       atomic.Int64              // requests taken and not ended, answers on their way included
+	shutdownBy           atomic.Pointer[time.Time] // once ending: nobody waits longer, and after it nothing is taken
+	stalls               stallDetector
+	bodyBytes            atomic.Int64 // bytes of requests in hand
+	maxBodyBytesTotal    int64
+	maxBufferedBodyBytes int64 // bytes of a request that is kept whole
 }
 
 // pace notices when the process stood still, be it stopped or without a core: what is read just after may have come
 // just before, and its client's time has run on. All times are since the loop started.
-type pace struct{ last, ended, length atomic.Int64 }
+type stallDetector struct{ lastTick, stallEnd, stallLength atomic.Int64 }
 
-const paceBeat = 20 * time.Millisecond
+const stallTickInterval = 20 * time.Millisecond
 
 // beat is called every paceBeat, and tells whether it came far too late.
-func (p *pace) beat(now time.Duration) bool {
-	gap := now - time.Duration(p.last.Swap(int64(now)))
-	if gap <= 2*paceBeat {
+func (p *stallDetector) tick(now time.Duration) bool {
+	gap := now - time.Duration(p.lastTick.Swap(int64(now)))
+	if gap <= 2*stallTickInterval {
 		return false
 	}
-	p.length.Store(int64(gap))
-	p.ended.Store(int64(now))
+	p.stallLength.Store(int64(gap))
+	p.stallEnd.Store(int64(now))
 	return true
 }
 
 // behind is how long ago something that is read now may have come.
-func (p *pace) behind(now time.Duration) time.Duration {
-	if gap := now - time.Duration(p.last.Load()); gap > 2*paceBeat {
+func (p *stallDetector) readDelay(now time.Duration) time.Duration {
+	if gap := now - time.Duration(p.lastTick.Load()); gap > 2*stallTickInterval {
 		return gap
 	}
-	since := now - time.Duration(p.ended.Load())
-	if length := time.Duration(p.length.Load()); length > 0 && since <= 2*paceBeat {
+	since := now - time.Duration(p.stallEnd.Load())
+	if length := time.Duration(p.stallLength.Load()); length > 0 && since <= 2*stallTickInterval {
 		return max(length+since, 0) // a beat may have come since now was read
 	}
 	return 0
 }
 
-func (s *front) keepPace(ctx context.Context) {
-	ticks := time.NewTicker(paceBeat)
+func (s *clientServer) detectStalls(ctx context.Context) {
+	ticks := time.NewTicker(stallTickInterval)
 	defer ticks.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticks.C:
-			if s.pace.beat(time.Since(s.loop.started)) {
+			if s.stalls.tick(time.Since(s.loop.started)) {
 				s.counters.standstills.Add(1)
-				s.counters.standstillMs.Add(s.pace.length.Load() / int64(time.Millisecond))
+				s.counters.standstillMs.Add(s.stalls.stallLength.Load() / int64(time.Millisecond))
 			}
 		}
 	}
 }
 
 // serves tells whether all clients may come here alone.
-func (s *front) serves() bool { return s.takes() && (s.pair == nil || s.pair.clear()) }
+func (s *clientServer) servesAlone() bool {
+	return s.acceptsExchanges() && (s.pair == nil || s.pair.clear())
+}
 
 // takes tells whether an exchange that comes now would find all it needs.
-func (s *front) takes() bool {
-	return s.open.Load() && s.loop.loaded.Load() && s.until.Load() == nil && (s.pair == nil || s.pair.settled())
+func (s *clientServer) acceptsExchanges() bool {
+	return s.accepting.Load() && s.loop.listLoaded.Load() && s.shutdownBy.Load() == nil && (s.pair == nil || s.pair.settled())
 }
 
 // yields tells whether a new process takes the clients, and kept connections should go there.
-func (s *front) yields() bool {
+func (s *clientServer) handsOver() bool {
 	listener := s.listener.Load()
-	return listener != nil && listener.held()
+	return listener != nil && listener.isPaused()
 }
 
-type clientKey struct{}
+type clientConnKey struct{}
 
 // httpServer wires net/http to it.
-func (s *front) httpServer() *http.Server {
-	complaints, _ := zap.NewStdLogAt(s.log, zap.WarnLevel)
+func (s *clientServer) httpServer() *http.Server {
+	errorLog, _ := zap.NewStdLogAt(s.log, zap.WarnLevel)
 	return &http.Server{
-		Handler: s, ReadTimeout: headTime, IdleTimeout: idleTime, MaxHeaderBytes: headMost,
-		ErrorLog: complaints, DisableGeneralOptionsHandler: true, // which answers OPTIONS * with 200
+		Handler: s, ReadTimeout: headReadTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: headMost,
+		ErrorLog: errorLog, DisableGeneralOptionsHandler: true, // which answers OPTIONS * with 200
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, clientKey{}, c)
+			return context.WithValue(ctx, clientConnKey{}, c)
 		},
 		// Broken framing is answered 400 by net/http without a handler; it is counted here.
 		ConnState: func(c net.Conn, state http.ConnState) {
-			switch k, _ := c.(*client); {
-			case k == nil:
+			switch conn, _ := c.(*clientConn); {
+			case conn == nil:
 			case state == http.StateIdle:
-				k.begun, k.taken, k.kept = false, false, true
-				k.become(idle)
-			case state == http.StateClosed && !k.begun && (phase(k.phase.Load()) == reading || phase(k.phase.Load()) == busy):
+				conn.handlerStarted, conn.requestPassed, conn.reused = false, false, true
+				conn.enterPhase(phaseIdle)
+			case state == http.StateClosed && !conn.handlerStarted && (phase(conn.phase.Load()) == phaseReading || phase(conn.phase.Load()) == phaseBusy):
 				s.counters.badInput.Add(1)
 			}
 		},
 	}
 }
 
-func (s *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	came := time.Now()
-	k, _ := r.Context().Value(clientKey{}).(*client)
-	if k != nil {
-		k.begun = true
+func (s *clientServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	receivedAt := time.Now()
+	conn, _ := r.Context().Value(clientConnKey{}).(*clientConn)
+	if conn != nil {
+		conn.handlerStarted = true
 	}
-	http.NewResponseController(w).SetWriteDeadline(came.Add(takeTime))
+	http.NewResponseController(w).SetWriteDeadline(receivedAt.Add(answerWriteTimeout))
 	var x *exchange
-	wrote, class := false, logic.ProductID(-1)
+	headWritten, class := false, logic.ProductID(-1)
 	defer func() {
 		if fault := recover(); fault != nil {
 			if fault == http.ErrAbortHandler {
@@ -150,9 +152,9 @@
 			s.counters.panics.Add(1)
 			s.log.Error("panic at a connection", zap.String("fault", fmt.Sprint(fault)), zap.Stack("stack"))
 			if x != nil {
-				s.loop.post(departure{x})
+				s.loop.post(clientLeft{x})
 			}
-			if wrote {
+			if headWritten {
 				panic(http.ErrAbortHandler)
 			}
 			w.Header().Set("Connection", "close")
@@ -161,116 +163,116 @@
 		}
 	}()
 	// Behind a body in chunks, or by the old protocol, nothing is read that might have been hidden in it.
-	if s.until.Load() != nil || s.yields() || s.sockets.crowded() || len(r.TransferEncoding) > 0 || !r.ProtoAtLeast(1, 1) {
+	if s.shutdownBy.Load() != nil || s.handsOver() || s.descriptors.keepAliveExceeded() || len(r.TransferEncoding) > 0 || !r.ProtoAtLeast(1, 1) {
 		w.Header().Set("Connection", "close")
 	}
 	if r.Header.Get("Request-Id") == "" && r.Method == http.MethodGet {
 		switch r.URL.Path {
 		case "/up":
-			if !s.loop.loaded.Load() || s.until.Load() != nil && !s.succeeded.Load() {
+			if !s.loop.listLoaded.Load() || s.shutdownBy.Load() != nil && !s.replaced.Load() {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 			return
 		case "/counters":
 			w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-			s.counters.Print(s.sockets, w)
+			s.counters.Print(s.descriptors, w)
 			return
 		}
 	}
 	size := r.ContentLength
-	if size < 0 || size > s.keptMost {
-		size = bodyMost + flowMost // what is kept of a long one at any time
+	if size < 0 || size > s.maxBufferedBodyBytes {
+		size = bodyMost + pipeBytes // what is kept of a long one at any time
 	}
-	if r.ContentLength <= longMost {
-		defer s.bodies.Add(-size)
-		if s.bodies.Add(size) > s.bodyRoom || k != nil && k.excess {
-			s.turnAway(w, r)
+	if r.ContentLength <= maxStreamedBytes {
+		defer s.bodyBytes.Add(-size)
+		if s.bodyBytes.Add(size) > s.maxBodyBytesTotal || conn != nil && conn.overLimit {
+			s.refuseOverCapacity(w, r)
 			return
 		}
 	}
-	s.handlers.Add(1)
-	defer s.handlers.Add(-1)
+	s.activeHandlers.Add(1)
+	defer s.activeHandlers.Add(-1)
 	var status int
-	var why string
-	if x, status, why = s.read(w, r, came); x == nil {
+	var reason string
+	if x, status, reason = s.readExchange(w, r, receivedAt); x == nil {
 		s.counters.badInput.Add(1)
-		hangUpAfter(w)
-		http.Error(w, why, status)
+		closeAfterAnswer(w)
+		http.Error(w, reason, status)
 		return
 	}
-	if end := s.until.Load(); end != nil {
-		x.abandon = min(x.abandon, s.loop.at(*end)) // SIGKILL may follow
+	if end := s.shutdownBy.Load(); end != nil {
+		x.deadline = min(x.deadline, s.loop.at(*end)) // SIGKILL may follow
 	}
-	if x.abandon <= s.loop.at(came) || k != nil && !k.become(busy) {
-		s.turnAway(w, r)
+	if x.deadline <= s.loop.at(receivedAt) || conn != nil && !conn.enterPhase(phaseBusy) {
+		s.refuseOverCapacity(w, r)
 		return
 	}
-	if x.client = k; x.deserted() {
+	if x.client = conn; x.abandonedByClient() {
 		s.counters.left.Add(1) // while it was read
 		answer{status: http.StatusBadGateway}.write(w)
 		return
 	}
 	class = x.request.class // the loop owns the rest from here on
-	rest, from := x.request.rest, x.from
+	rest, source := x.request.rest, x.bodySource
 	s.loop.post(arrival{x})
-	var pumped chan error
+	var bodyDone chan error
 	if rest == nil {
-		s.inHand.Add(1)
-		defer s.inHand.Add(-1)
+		s.activeRequests.Add(1)
+		defer s.activeRequests.Add(-1)
 	} else {
-		pumped = make(chan error, 1)
+		bodyDone = make(chan error, 1)
 		s.transfers.Add(1)
 		go func() {
 			defer s.transfers.Add(-1)
-			pumped <- s.pump(x, rest, from)
+			bodyDone <- s.receiveBody(x, rest, source)
 		}()
 	}
 	for {
-		gone := r.Context().Done()
-		if pumped != nil {
-			gone = nil // net/http ends the context when the body breaks off, of which the pump knows more
+		clientDone := r.Context().Done()
+		if bodyDone != nil {
+			clientDone = nil // net/http ends the context when the body breaks off, of which the pump knows more
 		}
 		select {
 		case a := <-x.answer:
-			if pumped != nil {
+			if bodyDone != nil {
 				// Before its end: what is left of it is read for a while, by its pump alone and not once the handler has
 				// ended, and nothing behind it.
 				w.Header().Set("Connection", "close")
-				defer func() { <-pumped }()
-				rest.drop()
+				defer func() { <-bodyDone }()
+				rest.discard()
 			}
-			if a.status == nobody { // the loop was told that the client has left
+			if a.status == statusClientLeft { // the loop was told that the client has left
 				answer{status: http.StatusBadGateway}.write(w)
 				return
 			}
-			if seeded == "lost" && a.status == http.StatusOK && time.Now().UnixNano()%50 == 0 {
+			if injectedFault == "lost" && a.status == http.StatusOK && time.Now().UnixNano()%50 == 0 {
 				panic(http.ErrAbortHandler)
 			}
-			wrote = true
-			if s.until.Load() != nil || s.yields() {
+			headWritten = true
+			if s.shutdownBy.Load() != nil || s.handsOver() {
 				w.Header().Set("Connection", "close") // it may have come to that while it waited
 			}
-			s.give(w, a, class)
+			s.writeAnswer(w, a, class)
 			return
-		case err := <-pumped:
-			pumped = nil
+		case err := <-bodyDone:
+			bodyDone = nil
 			if err == nil { // taken only now
-				s.inHand.Add(1)
-				defer s.inHand.Add(-1)
+				s.activeRequests.Add(1)
+				defer s.activeRequests.Add(-1)
 				continue
 			}
 			s.counters.badInput.Add(1)
-			s.loop.post(departure{x})
-			hangUpAfter(w)
+			s.loop.post(clientLeft{x})
+			closeAfterAnswer(w)
 			status := http.StatusBadRequest
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				status = http.StatusRequestTimeout
 			}
 			http.Error(w, "the body did not come whole", status)
 			return
-		case <-gone:
-			x.left.Store(true) // at once, whatever waits in the queue
-			s.loop.post(departure{x})
+		case <-clientDone:
+			x.clientGone.Store(true) // at once, whatever waits in the queue
+			s.loop.post(clientLeft{x})
 			// Net/http answers 200 for a handler that says nothing, and one that closed its sending only would take that
 			// empty answer for an endpoint's.
 			answer{status: http.StatusBadGateway}.write(w)
@@ -280,8 +282,8 @@
 }
 
 // give writes the answer, and counts it under its class once it is written.
-func (s *front) give(w http.ResponseWriter, a answer, class logic.ProductID) {
-	if a.flow == nil {
+func (s *clientServer) writeAnswer(w http.ResponseWriter, a answer, class logic.ProductID) {
+	if a.stream == nil {
 		a.write(w)
 		s.counters.class(class).answered(a.status)
 		return
@@ -289,15 +291,15 @@
 	s.counters.streams.Add(1)
 	s.transfers.Add(1)
 	defer s.transfers.Add(-1)
-	defer s.bodies.Add(-2 * flowMost)
-	s.bodies.Add(2 * flowMost)
-	defer a.flow.drop()
-	switch whole, fault := a.pass(w); {
-	case whole:
+	defer s.bodyBytes.Add(-2 * pipeBytes)
+	s.bodyBytes.Add(2 * pipeBytes)
+	defer a.stream.discard()
+	switch complete, err := a.streamTo(w); {
+	case complete:
 		s.counters.class(class).answered(a.status)
-	case fault != nil:
+	case err != nil:
 		s.counters.streamsBroken.Add(1)
-		s.log.Debug("a long answer broke off", zap.Error(fault))
+		s.log.Debug("a long answer broke off", zap.Error(err))
 		s.counters.class(class).answered(http.StatusBadGateway)
 		panic(http.ErrAbortHandler) // the client must see that it is not whole
 	default: // the client went away
@@ -307,46 +309,46 @@
 }
 
 // turnAway answers what there is no room to take in: read first, or the client would find its connection broken.
-func (s *front) turnAway(w http.ResponseWriter, r *http.Request) {
+func (s *clientServer) refuseOverCapacity(w http.ResponseWriter, r *http.Request) {
 	s.counters.turnedAway.Add(1)
 	if len(r.Header["Request-Id"]) == 1 {
-		p, _, _ := s.product(r)
-		s.counters.class(p).answered(http.StatusServiceUnavailable)
+		product, _, _ := s.productOf(r)
+		s.counters.class(product).answered(http.StatusServiceUnavailable)
 	}
-	hangUpAfter(w)
+	closeAfterAnswer(w)
 	io.Copy(io.Discard, io.LimitReader(r.Body, bodyMost))
-	w.Header().Set("Retry-After", comeBack)
+	w.Header().Set("Retry-After", defaultRetryAfterSeconds)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 // hangUpAfter closes the connection behind the answer. Net/http else reads on, before or after it, for a body that may
 // never come, and a prompt answer would wait for that.
-func hangUpAfter(w http.ResponseWriter) {
+func closeAfterAnswer(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(turnedTime))
-	control.SetWriteDeadline(time.Now().Add(takeTime))
+	control.SetReadDeadline(time.Now().Add(refusedReadTimeout))
+	control.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 }
 
 // write sends an answer off, whole.
 func (a answer) write(w http.ResponseWriter) {
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(takeTime))
-	a.head(w.Header())
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWriteTimeout))
+	a.setHeaders(w.Header())
 	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	w.WriteHeader(a.status)
 	w.Write(a.body)
 }
 
-func (a answer) head(h http.Header) {
+func (a answer) setHeaders(h http.Header) {
 	for name, values := range a.header {
-		if !dropped[name] && name != "Server-Load" && name != "Not-Started" {
+		if !notForwarded[name] && name != "Server-Load" && name != "Not-Started" {
 			h[name] = values
 		}
 	}
 	if a.status == http.StatusOK && h["Content-Type"] == nil {
 		h["Content-Type"] = nil // unchanged: no type is guessed
 	}
-	if a.comeBack > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(float64(a.comeBack)/1000, 'f', 3, 64))
+	if a.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(float64(a.retryAfter)/1000, 'f', 3, 64))
 	}
 }
--- a/internal/sidecar/sibling.go
+++ b/internal/sidecar/sibling.go
@@ -39,10 +39,10 @@
 // knowledge asks the loop for what it was told.
 func (l *loop) knowledge(patience time.Duration) (knowledge, error) {
 	answer := make(chan knowledge, 1)
-	l.postFirst(asked(func(l *loop) {
+	l.postUrgent(asked(func(l *loop) {
 		k := knowledge{
 			inventory: l.list.inventory(), discovery: l.list.addr, reloaded: l.list.reloaded, following: l.list.current.live(),
-			drained: map[logic.EndpointID]drain{}, change: l.changes.Load(), byHand: l.hands.Wishes(),
+			drained: map[logic.EndpointID]drain{}, change: l.changeCount.Load(), byHand: l.operatorDrains.Wishes(),
 		}
 		for id, mark := range l.list.drained {
 			k.drained[id] = mark
@@ -59,7 +59,7 @@
 
 // changed tells the siblings that there is news.
 func (l *loop) changed() {
-	l.changes.Add(1)
+	l.changeCount.Add(1)
 	if tell := l.onChange.Load(); tell != nil {
 		(*tell)()
 	}
@@ -151,21 +151,21 @@
 // happen believes a sibling whole if it follows discovery and this process does not, or if both do not and it has the later list.
 // Else the own watch counts, and of the sibling's word what takes an endpoint out, or tells of its later start, which must not wait for
 // the watch.
-func (e siblingTold) happen(l *loop) {
-	l.hands.Hear(e.byHand)
+func (e siblingTold) handle(l *loop) {
+	l.operatorDrains.Hear(e.byHand)
 	if e.reloaded > l.list.configured {
-		moved{e.discovery}.happen(l)
+		moved{e.discovery}.handle(l)
 		l.list.reloaded, l.list.configured = e.reloaded, e.reloaded
 	}
 	same := e.discovery == l.list.addr
 	l.list.siblingFollows = same && e.following
 	switch later := e.version > l.list.version; {
 	case same && !l.list.current.live() && e.version >= 0 && e.version != l.list.version && (e.following || later):
-		listing{inventory: e.inventory, watch: fromSibling}.happen(l)
+		listing{inventory: e.inventory, watch: fromSibling}.handle(l)
 		l.list.version = e.version
 	default:
 		if news := l.list.newsOf(e.knowledge, same && later && l.list.version >= 0); len(news) > 0 {
-			listing{inventory: inventory{version: e.version, servers: news}, watch: fromSibling}.happen(l)
+			listing{inventory: inventory{version: e.version, servers: news}, watch: fromSibling}.handle(l)
 		}
 	}
 	now := time.Now()
--- a/internal/sidecar/sibling_test.go
+++ b/internal/sidecar/sibling_test.go
@@ -34,7 +34,7 @@
 }
 
 // inLoop runs in the loop's goroutine.
-func inLoop(r *running, f func(l *loop)) {
+func inLoop(r *testSidecar, f func(l *loop)) {
 	done := make(chan bool)
 	r.loop.post(probe(func(l *loop) { f(l); close(done) }))
 	<-done
@@ -63,22 +63,22 @@
 		{"no version after a move", false, reportOf(noVersion, true, draining("a"), inService("b", 0), inService("c", 0)), []string{"b", "c"}, 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := begin(t, known(newStandIn(t, say(fine, true))), withConsole(""))
-			assert.Eventually(t, func() bool { return r.loop.loaded.Load() }, 5*time.Second, time.Millisecond)
+			r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(""))
+			assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() }, 5*time.Second, time.Millisecond)
 			inLoop(r, func(l *loop) {
 				l.list.endCalls()
 				l.list.current.end()
-				listing{inventory: inventory{version: 10, full: true, servers: []entry{inService("a", 0), inService("b", 0), inService("c", 0)}}, fromDisk: true}.happen(l)
+				listing{inventory: inventory{version: 10, full: true, servers: []entry{inService("a", 0), inService("b", 0), inService("c", 0)}}, fromDisk: true}.handle(l)
 				if c.follows {
 					l.list.current = watch{number: 99}
 				}
 				c.reports.discovery = l.list.addr
-				heard := l.heard.Load()
-				siblingTold{c.reports}.happen(l)
-				assert.Equal(t, heard, l.heard.Load(), "a sibling's word is no watch")
+				heard := l.watchHeard.Load()
+				siblingTold{c.reports}.handle(l)
+				assert.Equal(t, heard, l.watchHeard.Load(), "a sibling's word is no watch")
 				var runs []string
 				for id, e := range l.list.entries {
-					if e.running && l.up.find(id) != nil && !l.up.find(id).shut.Load() {
+					if e.running && l.upstream.find(id) != nil && !l.upstream.find(id).shut.Load() {
 						runs = append(runs, string(id))
 					}
 				}
@@ -94,23 +94,23 @@
 // A cold start that the sibling saw is known here at once, beside a watch too; a drain from before it takes nothing back. What was told of
 // endpoints that are gone stands against an older list of this process's own.
 func TestStartsAndGoneOnesThatASiblingSaw(t *testing.T) {
-	r := begin(t, known(newStandIn(t, say(fine, true))), withConsole(""))
-	assert.Eventually(t, func() bool { return r.loop.loaded.Load() }, 5*time.Second, time.Millisecond)
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(""))
+	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() }, 5*time.Second, time.Millisecond)
 	inLoop(r, func(l *loop) {
 		l.list.endCalls()
 		l.list.current.end()
-		listing{inventory: inventory{version: 10, full: true, servers: []entry{inService("a", 0), inService("b", 0)}}, fromDisk: true}.happen(l)
+		listing{inventory: inventory{version: 10, full: true, servers: []entry{inService("a", 0), inService("b", 0)}}, fromDisk: true}.handle(l)
 		l.list.current = watch{number: 99}
 		defer func() { l.list.current = watch{} }()
 		reports := reportOf(9, true, inService("a", 700), inService("b", 0))
 		reports.discovery = l.list.addr
-		siblingTold{reports}.happen(l)
+		siblingTold{reports}.handle(l)
 		assert.EqualValues(t, 700, l.list.entries["a"].started)
 		reports.servers = []entry{draining("a"), inService("b", 0)}
-		siblingTold{reports}.happen(l)
+		siblingTold{reports}.handle(l)
 		assert.True(t, l.list.entries["a"].running, "the drain is from before its start")
 		reports.drained = map[logic.EndpointID]drain{"gone": {version: 12}}
-		siblingTold{reports}.happen(l)
+		siblingTold{reports}.handle(l)
 		assert.True(t, l.list.stillDrains(inService("gone", 0), 11))
 	})
 }
@@ -118,19 +118,19 @@
 // A new configuration that reached one process reaches the other, unless that read a later one; the file that a process was started with
 // is no news.
 func TestANewConfigurationReachesTheSibling(t *testing.T) {
-	r := begin(t, known(newStandIn(t, say(fine, true))), withConsole(""))
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(""))
 	elsewhere := newStandIn(t, silent)
 	inLoop(r, func(l *loop) {
 		mine := l.list.addr
 		reports := knowledge{inventory: inventory{version: noVersion, full: true}, discovery: elsewhere.Addr().String()}
-		siblingTold{reports}.happen(l)
+		siblingTold{reports}.handle(l)
 		assert.Equal(t, mine, l.list.addr)
 		l.list.configured = clock.Monotonic()
 		reports.reloaded = l.list.configured - time.Second
-		siblingTold{reports}.happen(l)
+		siblingTold{reports}.handle(l)
 		assert.Equal(t, mine, l.list.addr, "ours is later")
 		reports.reloaded = l.list.configured + 1
-		siblingTold{reports}.happen(l)
+		siblingTold{reports}.handle(l)
 		assert.Equal(t, reports.discovery, l.list.addr)
 	})
 	<-elsewhere.seen
@@ -163,13 +163,13 @@
 
 // A process of another release must read the list that it is handed and the one that a sibling tells.
 func TestWireFormOfKnowledge(t *testing.T) {
-	r := begin(t, known(newStandIn(t, say(fine, true))), withConsole(""))
-	assert.Eventually(t, func() bool { return r.loop.loaded.Load() }, 5*time.Second, time.Millisecond)
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(""))
+	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() }, 5*time.Second, time.Millisecond)
 	var discovery string
 	inLoop(r, func(l *loop) {
 		l.list.endCalls()
 		l.list.current.end()
-		listing{inventory: inventory{version: 10, full: true, servers: []entry{inService("a", 700)}}, fromDisk: true}.happen(l)
+		listing{inventory: inventory{version: 10, full: true, servers: []entry{inService("a", 700)}}, fromDisk: true}.handle(l)
 		l.list.current, l.list.reloaded, discovery = watch{number: 99}, 5*time.Second, l.list.addr
 		l.list.drained = map[logic.EndpointID]drain{"gone": {version: 9, started: 300}}
 	})
@@ -193,11 +193,11 @@
 func TestNewsPassesAlongThreeProcesses(t *testing.T) {
 	dir, s, discovery := t.TempDir(), newStandIn(t, say(fine, true)), newStandIn(t, silent).Addr().String()
 	var pairs [3]*pair
-	var runs [3]*running
+	var runs [3]*testSidecar
 	for n := range pairs {
-		runs[n] = begin(t, known(s), func(c *Start) { withConsole("")(c); c.Discovery = discovery })
+		runs[n] = startSidecar(t, listOf(s), func(c *Start) { withConsole("")(c); c.Discovery = discovery })
 		r := runs[n]
-		assert.Eventually(t, func() bool { return r.loop.loaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
+		assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
 		pairs[n] = &pair{dir: dir, memory: 10 << 20, front: r.front, door: r.front.listener.Load().TCPListener, log: zap.NewNop()}
 		if n > 0 {
 			h, err := inherit(dir)
@@ -212,7 +212,7 @@
 	require.NotNil(t, younger, "and the third, which found it and not the first")
 	drains := func(teller int, id string, version int64) {
 		r := runs[teller]
-		r.loop.postFirst(listing{inventory: inventory{version: version, full: true, servers: []entry{inService("s0", 0), draining(id)}}, fromDisk: true})
+		r.loop.postUrgent(listing{inventory: inventory{version: version, full: true, servers: []entry{inService("s0", 0), draining(id)}}, fromDisk: true})
 		for n := range runs {
 			assert.Eventually(t, func() bool {
 				k, err := runs[n].loop.knowledge(time.Second)
@@ -229,8 +229,8 @@
 // A process whose successor dies is found again by the next one, and one whose line says what can't be read goes on alone.
 func TestTheOldOneOffersAgain(t *testing.T) {
 	dir := t.TempDir()
-	r := begin(t, known(newStandIn(t, say(fine, true))), withConsole(""))
-	assert.Eventually(t, func() bool { return r.loop.loaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(""))
+	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
 	old := &pair{dir: dir, memory: 10 << 20, front: r.front, door: r.front.listener.Load().TCPListener, log: zap.NewNop()}
 	require.NoError(t, old.offer(t.Context()))
 	for range 2 {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -32,11 +32,11 @@
 	`"value":1.0,"overdue-value":0.5}]}}`
 
 // running is one sidecar in this process, with the discovery that it asks.
-type running struct {
+type testSidecar struct {
 	*testing.T
 	addr  string
 	loop  *loop
-	front *front
+	front *clientServer
 	stop  context.CancelFunc // SIGTERM
 	ended chan error
 }
@@ -49,7 +49,7 @@
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","cell":1,"state":%q,"weight":1.0,"started_ms":0}`, id, addr, state)
 }
 
-func known(endpoints ...net.Listener) string {
+func listOf(endpoints ...net.Listener) string {
 	entries := []string{}
 	for n, e := range endpoints {
 		entries = append(entries, entryText(fmt.Sprint("s", n), e.Addr().String(), "in_service"))
@@ -57,17 +57,17 @@
 	return listText(1, true, entries...)
 }
 
-func begin(t *testing.T, list string, change func(*Start)) *running {
+func startSidecar(t *testing.T, list string, configure func(*Start)) *testSidecar {
 	text := strings.NewReplacer("%KNOWN%", list, "%SOCKETS%", "1024").Replace(startText)
 	s, err := Decode([]byte(text))
 	require.NoError(t, err)
-	if change != nil {
-		change(s)
+	if configure != nil {
+		configure(s)
 	}
 	ln, err := net.Listen("tcp", s.Listen)
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{T: t, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1)}
+	r := &testSidecar{T: t, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1)}
 	life, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
 	r.front = s.assemble(life, zap.NewNop())
@@ -85,13 +85,13 @@
 }
 
 // ask writes one request on a new connection; more headers go into extra.
-func ask(id, method, path, extra string) string {
+func requestText(id, method, path, extra string) string {
 	class, _, _ := strings.Cut(path, "/")
 	return fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: %s\r\n"+
 		"Request-Timeout: 900m\r\n%s\r\n", method, path, id, class, extra)
 }
 
-func (r *running) dial() net.Conn {
+func (r *testSidecar) dial() net.Conn {
 	c, err := net.Dial("tcp", r.addr)
 	require.NoError(r, err)
 	r.Cleanup(func() { c.Close() })
@@ -110,7 +110,7 @@
 	return got, string(body)
 }
 
-func (r *running) status(text string) int {
+func (r *testSidecar) status(text string) int {
 	got, _ := exchangeOn(r.dial(), text)
 	if got == nil {
 		return 0
@@ -119,7 +119,7 @@
 }
 
 // insist does what clients do where a connection is closed under their request: they send it once more, on a new one.
-func (r *running) insist(c net.Conn, text string) (*http.Response, string) {
+func (r *testSidecar) exchangeWithRetry(c net.Conn, text string) (*http.Response, string) {
 	if got, body := exchangeOn(c, text); got != nil {
 		return got, body
 	}
@@ -127,34 +127,34 @@
 }
 
 // What an endpoint's failure becomes for the client, by what may run again.
-func TestAnswers(t *testing.T) {
-	const head, none = "HTTP/1.1 ", "Content-Length: 0\r\n\r\n"
+func TestAnswersByOutcomeAndEffect(t *testing.T) {
+	const head, emptyBody = "HTTP/1.1 ", "Content-Length: 0\r\n\r\n"
 	const key = "Idempotency-Key: k\r\nContent-Length: 0\r\n"
-	full, oops := say(head+"503 Full\r\nNot-Started: 1\r\n"+none, true), say(head+"500 Oops\r\n"+none, true)
-	busy := say(head+"503 Busy\r\n"+none, true)
+	full, failing := say(head+"503 Full\r\nNot-Started: 1\r\n"+emptyBody, true), say(head+"500 Oops\r\n"+emptyBody, true)
+	busy := say(head+"503 Busy\r\n"+emptyBody, true)
 	for _, c := range []struct {
 		name, request string
 		script        func(net.Conn, *http.Request) bool
 		status        int
 		legs          int64 // at the least one, at the most
 	}{
-		{"satisfied", ask("1", "GET", "look/x?y=%20z", ""), say(fine, true), 200, 1},
-		{"full proves that nothing ran", ask("1", "POST", "buy/x", "Content-Length: 0\r\n"), full, 503, 3},
-		{"single-use may have run", ask("1", "POST", "buy/x", "Content-Length: 0\r\n"), oops, 502, 1},
-		{"an endpoint's own 503 is no dismissal", ask("1", "POST", "buy/x", "Content-Length: 0\r\n"), busy, 502, 1},
-		{"reset", ask("1", "POST", "buy/x", "Content-Length: 0\r\n"), hangUp, 502, 1},
-		{"silent to the end", ask("1", "POST", "buy/x", "Content-Length: 0\r\n"), silent, 504, 1},
-		{"replayable is tried again", ask("1", "GET", "look/x", ""), oops, 503, 3},
-		{"referenced is tried again", ask("1", "POST", "save/x", key), oops, 503, 3},
-		{"referenced, its mark of one hop", ask("1", "POST", "save/x", key+"Connection: Idempotency-Key\r\n"), oops, 503, 3},
-		{"referenced with two marks", ask("1", "POST", "save/x", key+"Idempotency-Key: l\r\n"), oops, 502, 1},
-		{"referenced without its mark", ask("1", "POST", "save/x", "Content-Length: 0\r\n"), oops, 502, 1},
-		{"replayable by name, not by method", ask("1", "POST", "look/x", "Content-Length: 0\r\n"), oops, 502, 1},
+		{"satisfied", requestText("1", "GET", "look/x?y=%20z", ""), say(fine, true), 200, 1},
+		{"full proves that nothing ran", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), full, 503, 3},
+		{"single-use may have run", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), failing, 502, 1},
+		{"an endpoint's own 503 is no dismissal", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), busy, 502, 1},
+		{"reset", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), hangUp, 502, 1},
+		{"silent to the end", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), silent, 504, 1},
+		{"replayable is tried again", requestText("1", "GET", "look/x", ""), failing, 503, 3},
+		{"referenced is tried again", requestText("1", "POST", "save/x", key), failing, 503, 3},
+		{"referenced, its mark of one hop", requestText("1", "POST", "save/x", key+"Connection: Idempotency-Key\r\n"), failing, 503, 3},
+		{"referenced with two marks", requestText("1", "POST", "save/x", key+"Idempotency-Key: l\r\n"), failing, 502, 1},
+		{"referenced without its mark", requestText("1", "POST", "save/x", "Content-Length: 0\r\n"), failing, 502, 1},
+		{"replayable by name, not by method", requestText("1", "POST", "look/x", "Content-Length: 0\r\n"), failing, 502, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newStandIn(t, c.script)
-			r := begin(t, known(s, s, s, s), nil)
+			r := startSidecar(t, listOf(s, s, s, s), nil)
 			began := time.Now()
 			got, body := exchangeOn(r.dial(), c.request)
 			require.NotNil(t, got, body)
@@ -178,38 +178,38 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestBadInputIsRefused(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
-	r := begin(t, known(s), nil)
+	r := startSidecar(t, listOf(s), nil)
 	big := strings.Repeat("x", bodyMost+1)
 	cases := []struct {
 		name, request string
 		status        int
 	}{
-		{"no id", strings.Replace(ask("", "GET", "look", ""), "Request-Id: \r\n", "", 1), 400},
-		{"endless id", ask(strings.Repeat("1", idMost+1), "GET", "look", ""), 400},
-		{"empty id", ask("", "GET", "look", ""), 400},
-		{"two ids", ask("1", "GET", "look", "Request-Id: 2\r\n"), 400},
-		{"no timeout", strings.Replace(ask("1", "GET", "look", ""), "Request-Timeout", "Timeout", 1), 400},
-		{"timeout without unit", strings.Replace(ask("1", "GET", "look", ""), "900m", "900", 1), 400},
-		{"timeout below 0", strings.Replace(ask("1", "GET", "look", ""), "900m", "-900m", 1), 400},
-		{"no number", strings.Replace(ask("1", "GET", "look", ""), "900m", "NaNm", 1), 400},
-		{"endless", strings.Replace(ask("1", "GET", "look", ""), "900m", "Infm", 1), 400},
-		{"options of all", strings.Replace(ask("1", "OPTIONS", "look", ""), "/look", "*", 1), 405},
-		{"other method", ask("1", "DELETE", "look", ""), 405},
-		{"long body", ask("1", "POST", "buy", fmt.Sprintf("Content-Length: %d\r\n", longMost+1)), 413},
-		{"long head", ask("1", "GET", "look", "A: "+big+"\r\n"), 431},
-		{"broken chunks", ask("1", "POST", "buy", "Transfer-Encoding: chunked\r\n\r\nxyz\r\n"), 400},
-		{"two lengths", ask("1", "POST", "buy", "Content-Length: 1\r\nContent-Length: 2\r\n"), 400},
+		{"no id", strings.Replace(requestText("", "GET", "look", ""), "Request-Id: \r\n", "", 1), 400},
+		{"endless id", requestText(strings.Repeat("1", maxRequestIDBytes+1), "GET", "look", ""), 400},
+		{"empty id", requestText("", "GET", "look", ""), 400},
+		{"two ids", requestText("1", "GET", "look", "Request-Id: 2\r\n"), 400},
+		{"no timeout", strings.Replace(requestText("1", "GET", "look", ""), "Request-Timeout", "Timeout", 1), 400},
+		{"timeout without unit", strings.Replace(requestText("1", "GET", "look", ""), "900m", "900", 1), 400},
+		{"timeout below 0", strings.Replace(requestText("1", "GET", "look", ""), "900m", "-900m", 1), 400},
+		{"no number", strings.Replace(requestText("1", "GET", "look", ""), "900m", "NaNm", 1), 400},
+		{"endless", strings.Replace(requestText("1", "GET", "look", ""), "900m", "Infm", 1), 400},
+		{"options of all", strings.Replace(requestText("1", "OPTIONS", "look", ""), "/look", "*", 1), 405},
+		{"other method", requestText("1", "DELETE", "look", ""), 405},
+		{"long body", requestText("1", "POST", "buy", fmt.Sprintf("Content-Length: %d\r\n", maxStreamedBytes+1)), 413},
+		{"long head", requestText("1", "GET", "look", "A: "+big+"\r\n"), 431},
+		{"broken chunks", requestText("1", "POST", "buy", "Transfer-Encoding: chunked\r\n\r\nxyz\r\n"), 400},
+		{"two lengths", requestText("1", "POST", "buy", "Content-Length: 1\r\nContent-Length: 2\r\n"), 400},
 		{"no HTTP", "hello\r\n\r\n", 400},
 		{"no HTTP, no end", "HELLO\x00", 400},
 		{"not even letters", "\x16\x03\x01", 400},
-		{"timeout in other figures", strings.Replace(ask("1", "GET", "look", ""), "900m", "9e2m", 1), 400},
-		{"unknown class", ask("1", "POST", "sell", "Idempotency-Key: k\r\nContent-Length: 0\r\n"), 404},
-		{"no class", strings.Replace(ask("1", "GET", "look", ""), "Request-Class: look", "Request-Class:", 1), 404},
-		{"two classes", ask("1", "GET", "look", "Request-Class: buy\r\n"), 404},
-		{"class and path differ", strings.Replace(ask("1", "GET", "look", ""), "GET /look", "GET /buy", 1), 404},
-		{"body does not come", strings.Replace(ask("1", "POST", "buy", "Content-Length: 5\r\n"), "900m", "50m", 1), 408},
+		{"timeout in other figures", strings.Replace(requestText("1", "GET", "look", ""), "900m", "9e2m", 1), 400},
+		{"unknown class", requestText("1", "POST", "sell", "Idempotency-Key: k\r\nContent-Length: 0\r\n"), 404},
+		{"no class", strings.Replace(requestText("1", "GET", "look", ""), "Request-Class: look", "Request-Class:", 1), 404},
+		{"two classes", requestText("1", "GET", "look", "Request-Class: buy\r\n"), 404},
+		{"class and path differ", strings.Replace(requestText("1", "GET", "look", ""), "GET /look", "GET /buy", 1), 404},
+		{"body does not come", strings.Replace(requestText("1", "POST", "buy", "Content-Length: 5\r\n"), "900m", "50m", 1), 408},
 	}
 	for _, c := range cases {
 		began := time.Now()
@@ -223,20 +223,20 @@
 }
 
 // The same id twice would have its effect twice.
-func TestDuplicateID(t *testing.T) {
-	free := make(chan bool)
+func TestDuplicateRequestIDIsRefused(t *testing.T) {
+	release := make(chan bool)
 	s := newStandIn(t, func(c net.Conn, _ *http.Request) bool {
-		<-free
+		<-release
 		c.Write([]byte(fine))
 		return true
 	})
-	r := begin(t, known(s), nil)
-	text := ask("7", "POST", "buy", "Content-Length: 0\r\n")
+	r := startSidecar(t, listOf(s), nil)
+	text := requestText("7", "POST", "buy", "Content-Length: 0\r\n")
 	first := r.dial()
 	first.Write([]byte(text))
 	<-s.seen
 	assert.Equal(t, 409, r.status(text), "while the first is in hand")
-	close(free)
+	close(release)
 	got, _ := exchangeOn(first, "")
 	assert.Equal(t, 200, got.StatusCode)
 	assert.Equal(t, 409, r.status(text), "after its answer")
@@ -244,16 +244,16 @@
 }
 
 // A client that has gone wants no answer; its legs are called off, so that endpoints don't work for nobody.
-func TestClientLeaves(t *testing.T) {
+func TestLegsAreCancelledWhenTheClientLeaves(t *testing.T) {
 	ended := make(chan bool)
 	s := newStandIn(t, func(c net.Conn, r *http.Request) bool {
 		silent(c, r)
 		close(ended)
 		return false
 	})
-	r := begin(t, known(s), nil)
+	r := startSidecar(t, listOf(s), nil)
 	c := r.dial()
-	c.Write([]byte(strings.Replace(ask("1", "GET", "look", ""), "900m", "60000m", 1)))
+	c.Write([]byte(strings.Replace(requestText("1", "GET", "look", ""), "900m", "60000m", 1)))
 	<-s.seen
 	c.(*net.TCPConn).CloseWrite()
 	got, _ := exchangeOn(c, "")
@@ -265,15 +265,15 @@
 		5*time.Second, time.Millisecond)
 }
 
-func TestReadiness(t *testing.T) {
+func TestReadinessAndCounters(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
-	r := begin(t, "null", nil)
+	r := startSidecar(t, "null", nil)
 	const up = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
 	assert.Equal(t, 503, r.status(up), "without a list")
-	assert.Equal(t, 503, r.status(ask("1", "POST", "buy", "Content-Length: 0\r\n")), "nowhere to send it")
+	assert.Equal(t, 503, r.status(requestText("1", "POST", "buy", "Content-Length: 0\r\n")), "nowhere to send it")
 	i := inventory{version: 1, full: true, servers: []entry{{id: "s", addr: s.Addr().String(), running: true}}}
 	r.loop.post(listing{inventory: i, fromDisk: true})
-	assert.Equal(t, 200, r.status(ask("2", "POST", "buy", "Content-Length: 0\r\n")))
+	assert.Equal(t, 200, r.status(requestText("2", "POST", "buy", "Content-Length: 0\r\n")))
 	assert.Equal(t, 200, r.status(up))
 	got, body := exchangeOn(r.dial(), "GET /counters HTTP/1.1\r\nHost: h\r\n\r\n")
 	assert.Equal(t, 200, got.StatusCode)
@@ -284,62 +284,62 @@
 
 // Beyond the descriptors a client is still read and told to come back; nothing stays unread. Before that give way, in this
 // order: who says nothing, kept connections, idle ones to endpoints, half requests; never one with an exchange in hand.
-func TestNoDescriptorLeft(t *testing.T) {
+func TestEvictionWhenDescriptorsRunOut(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
 	slow := newStandIn(t, silent)
-	r := begin(t, known(s), func(s *Start) { s.Sockets = 2 * fixedSockets })
-	books, most := r.front.sockets, r.front.sockets.usable
-	is := func(in phase) func() bool {
+	r := startSidecar(t, listOf(s), func(s *Start) { s.Sockets = 2 * reservedDescriptors })
+	descriptors, usable := r.front.descriptors, r.front.descriptors.usable
+	mostInPhase := func(in phase) func() bool {
 		return func() bool {
-			books.mu.Lock()
-			defer books.mu.Unlock()
+			descriptors.mu.Lock()
+			defer descriptors.mu.Unlock()
 			n := 0
-			for c := range books.clients {
+			for c := range descriptors.clients {
 				if phase(c.phase.Load()) == in {
 					n++
 				}
 			}
-			return n >= most-2
+			return n >= usable-2
 		}
 	}
-	within := func(f func() bool, why string) { assert.Eventually(t, f, 5*time.Second, time.Millisecond, why) }
-	asked := 0
-	works := func(why string) net.Conn {
+	eventually := func(f func() bool, why string) { assert.Eventually(t, f, 5*time.Second, time.Millisecond, why) }
+	sent := 0
+	served := func(why string) net.Conn {
 		c := r.dial()
-		asked++
-		got, body := exchangeOn(c, ask(fmt.Sprint("w", asked), "GET", "look", ""))
+		sent++
+		got, body := exchangeOn(c, requestText(fmt.Sprint("w", sent), "GET", "look", ""))
 		if assert.NotNil(t, got, why+body) {
 			assert.Equal(t, 200, got.StatusCode, why)
 		}
 		return c
 	}
-	works("while there is room")
-	for range 2 * most {
+	served("while there is room")
+	for range 2 * usable {
 		r.dial()
 	}
-	within(func() bool { // none of them may come behind the next one
-		clients, _ := books.held()
-		return r.front.counters.shed.Load()+int64(clients) >= int64(2*most)
+	eventually(func() bool { // none of them may come behind the next one
+		clients, _ := descriptors.connections()
+		return r.front.counters.shed.Load()+int64(clients) >= int64(2*usable)
 	}, "all have come")
-	within(func() bool { return books.room() }, "the silent give way")
-	works("with silent ones all around")
-	for range 3 * most {
-		works("with kept ones all around")
+	eventually(func() bool { return descriptors.makeClientRoom() }, "the silent give way")
+	served("with silent ones all around")
+	for range 3 * usable {
+		served("with kept ones all around")
 	}
-	_, idle := books.held()
+	_, idle := descriptors.connections()
 	assert.NotZero(t, idle, "a connection to the endpoint stays: its opening costs more")
-	halves := []net.Conn{}
-	for range most {
+	incomplete := []net.Conn{}
+	for range usable {
 		c := r.dial()
 		c.Write([]byte("POST /buy HTTP/1.1\r\nHost: h\r\n"))
-		halves = append(halves, c)
+		incomplete = append(incomplete, c)
 	}
-	within(is(reading), "half requests")
-	within(func() bool {
-		asked++
-		return r.status(ask(fmt.Sprint("w", asked), "GET", "look", "")) == 200
+	eventually(mostInPhase(phaseReading), "half requests")
+	eventually(func() bool {
+		sent++
+		return r.status(requestText(fmt.Sprint("w", sent), "GET", "look", "")) == 200
 	}, "with half requests all around")
-	for _, c := range halves {
+	for _, c := range incomplete {
 		got, _ := exchangeOn(c, "")
 		if got != nil {
 			assert.Contains(t, []int{503, 400}, got.StatusCode)
@@ -347,11 +347,11 @@
 	}
 	r.loop.post(listing{inventory: inventory{full: true, servers: []entry{
 		{id: "slow", addr: slow.Addr().String(), running: true}}}, fromDisk: true})
-	for n := range most {
-		r.dial().Write([]byte(ask(fmt.Sprint("held", n), "GET", "look", "")))
+	for n := range usable {
+		r.dial().Write([]byte(requestText(fmt.Sprint("held", n), "GET", "look", "")))
 	}
-	within(is(busy), "exchanges in hand")
-	got, _ := exchangeOn(r.dial(), ask("last", "POST", "buy", "Content-Length: 5\r\n")+"hello")
+	eventually(mostInPhase(phaseBusy), "exchanges in hand")
+	got, _ := exchangeOn(r.dial(), requestText("last", "POST", "buy", "Content-Length: 5\r\n")+"hello")
 	require.NotNil(t, got)
 	assert.Equal(t, 503, got.StatusCode)
 	assert.True(t, got.Close)
@@ -359,12 +359,12 @@
 }
 
 // An application may hold a third of the descriptors: those who ask once and stay must leave some to its other requests.
-func TestClientsWhoStay(t *testing.T) {
-	r := begin(t, known(newStandIn(t, say(fine, true))), func(s *Start) { s.Sockets = 96 })
+func TestKeptAliveConnectionsAreLimited(t *testing.T) {
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), func(s *Start) { s.Sockets = 96 })
 	var first net.Conn
 	for n := range 96 / 3 {
 		c := r.dial()
-		got, body := exchangeOn(c, ask(fmt.Sprint(n), "GET", "look", ""))
+		got, body := exchangeOn(c, requestText(fmt.Sprint(n), "GET", "look", ""))
 		require.NotNil(t, got, body)
 		assert.Equal(t, 200, got.StatusCode)
 		assert.Equal(t, n >= 96/6, got.Close, "connection %d", n)
@@ -372,7 +372,7 @@
 			first = c
 		}
 	}
-	left, _ := r.front.sockets.held()
+	left, _ := r.front.descriptors.connections()
 	assert.LessOrEqual(t, left, 96/6+1)
 	began := time.Now()
 	first.Read(make([]byte, 1))
@@ -380,9 +380,9 @@
 }
 
 // Who connects and says nothing, or not all, is owed an end within 3 s, however it spreads what it sends.
-func TestSlowClients(t *testing.T) {
-	r := begin(t, known(newStandIn(t, say(fine, true))), nil)
-	long := strings.Replace(ask("1", "POST", "buy", "Content-Length: 500\r\n"), "900m", "60000m", 1)
+func TestSlowClientsTimeOut(t *testing.T) {
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), nil)
+	long := strings.Replace(requestText("1", "POST", "buy", "Content-Length: 500\r\n"), "900m", "60000m", 1)
 	for _, text := range []string{"", "POST", "POST /buy HTTP/1.1\r\nHost: h\r\n", long, long + strings.Repeat("x", 100),
 		"POST /buy HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("A: b\r\n", 1000)} {
 		t.Run(fmt.Sprintf("%.4s%d", text, len(text)), func(t *testing.T) {
@@ -401,11 +401,11 @@
 }
 
 // What follows a request whose length is in doubt is never read as another request.
-func TestHiddenRequests(t *testing.T) {
+func TestRequestSmugglingIsRefused(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
-	r := begin(t, known(s), nil)
-	hidden := ask("hidden", "POST", "buy", "Content-Length: 0\r\n")
-	plain := func(id, extra string) string { return ask(id, "POST", "buy", extra) }
+	r := startSidecar(t, listOf(s), nil)
+	hidden := requestText("hidden", "POST", "buy", "Content-Length: 0\r\n")
+	plain := func(id, extra string) string { return requestText(id, "POST", "buy", extra) }
 	for n, c := range []struct {
 		name, extra, body string
 		first             int
@@ -454,7 +454,7 @@
 }
 
 // What waited unread while the process stood still has less time left than it says.
-func TestPace(t *testing.T) {
+func TestStallDetector(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name        string
@@ -468,28 +468,28 @@
 		{"a standstill that began after it was read", []time.Duration{20 * ms, 320 * ms}, 10 * ms, 0},
 		{"in step again", []time.Duration{20 * ms, 320 * ms, 340 * ms, 360 * ms}, 365 * ms, 0},
 	} {
-		var p pace
+		var p stallDetector
 		for _, at := range c.beats {
-			p.beat(at)
+			p.tick(at)
 		}
-		assert.Equal(t, c.behind, p.behind(c.now), c.name)
+		assert.Equal(t, c.behind, p.readDelay(c.now), c.name)
 	}
-	r := begin(t, "null", nil)
+	r := startSidecar(t, "null", nil)
 	assert.Eventually(t, func() bool { // as it was, but for a beat that comes late meanwhile
-		r.front.pace.last.Store(-int64(time.Hour))
-		return r.loop.up.behind()
+		r.front.stalls.lastTick.Store(-int64(time.Hour))
+		return r.loop.upstream.behind()
 	}, 5*time.Second, time.Millisecond, "legs wait until the news is read")
-	assert.Eventually(t, func() bool { return !r.loop.up.behind() }, 5*time.Second, time.Millisecond, "and no longer")
-	f := &front{loop: r.loop, names: r.front.names, products: r.front.products}
-	f.pace.last.Store(-int64(time.Hour))
-	q, err := http.ReadRequest(bufio.NewReader(strings.NewReader(ask("1", "GET", "look", ""))))
+	assert.Eventually(t, func() bool { return !r.loop.upstream.behind() }, 5*time.Second, time.Millisecond, "and no longer")
+	f := &clientServer{loop: r.loop, names: r.front.names, products: r.front.products}
+	f.stalls.lastTick.Store(-int64(time.Hour))
+	q, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("1", "GET", "look", ""))))
 	require.NoError(t, err)
-	x, _, _ := f.read(httptest.NewRecorder(), q, time.Now())
+	x, _, _ := f.readExchange(httptest.NewRecorder(), q, time.Now())
 	require.NotNil(t, x)
-	assert.Less(t, x.abandon, r.loop.at(time.Now()), "its time is over")
+	assert.Less(t, x.deadline, r.loop.at(time.Now()), "its time is over")
 }
 
-func TestAddressHeldAtStart(t *testing.T) {
+func TestStartWaitsForTheAddress(t *testing.T) {
 	before, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	time.AfterFunc(50*time.Millisecond, func() { before.Close() })
@@ -498,45 +498,45 @@
 	ln.Close()
 }
 
-func TestNoMemoryLeft(t *testing.T) {
-	r := begin(t, known(newStandIn(t, say(fine, true))), nil)
-	r.front.bodyRoom = 4
-	assert.Equal(t, 503, r.status(ask("1", "POST", "buy", "Content-Length: 5\r\n")+"hello"))
-	assert.Equal(t, 200, r.status(ask("2", "POST", "buy", "Content-Length: 4\r\n")+"hell"))
-	assert.Zero(t, r.front.bodies.Load())
+func TestRequestsBeyondTheBodyLimitAreRefused(t *testing.T) {
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), nil)
+	r.front.maxBodyBytesTotal = 4
+	assert.Equal(t, 503, r.status(requestText("1", "POST", "buy", "Content-Length: 5\r\n")+"hello"))
+	assert.Equal(t, 200, r.status(requestText("2", "POST", "buy", "Content-Length: 4\r\n")+"hell"))
+	assert.Zero(t, r.front.bodyBytes.Load())
 }
 
 // After SIGTERM connections still come, kept ones are used on, and what is held must be finished.
-func TestEnding(t *testing.T) {
-	free := make(chan bool)
+func TestGracefulShutdown(t *testing.T) {
+	release := make(chan bool)
 	s := newStandIn(t, func(c net.Conn, q *http.Request) bool {
 		if q.URL.Path == "/buy/slow" {
-			<-free
+			<-release
 		}
 		c.Write([]byte(fine))
 		return true
 	})
-	r := begin(t, known(s, s, s, s), nil)
+	r := startSidecar(t, listOf(s, s, s, s), nil)
 	kept, slow := r.dial(), r.dial()
-	got, _ := exchangeOn(kept, ask("1", "GET", "look", ""))
+	got, _ := exchangeOn(kept, requestText("1", "GET", "look", ""))
 	assert.False(t, got.Close)
-	slow.Write([]byte(strings.Replace(ask("2", "POST", "buy/slow", "Content-Length: 0\r\n"), "900m", "9000m", 1)))
+	slow.Write([]byte(strings.Replace(requestText("2", "POST", "buy/slow", "Content-Length: 0\r\n"), "900m", "9000m", 1)))
 	<-s.seen
 	<-s.seen
 	r.stop()
-	assert.Eventually(t, func() bool { return r.front.until.Load() != nil }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return r.front.shutdownBy.Load() != nil }, 5*time.Second, time.Millisecond)
 	for n, c := range []net.Conn{kept, r.dial()} {
-		got, body := r.insist(c, strings.Replace(ask(fmt.Sprint("late", n), "GET", "look", ""), "900m", "60000m", 1))
+		got, body := r.exchangeWithRetry(c, strings.Replace(requestText(fmt.Sprint("late", n), "GET", "look", ""), "900m", "60000m", 1))
 		require.NotNil(t, got, body)
 		assert.Equal(t, 200, got.StatusCode)
 		assert.True(t, got.Close)
 	}
-	until, over := r.front.until.Load(), time.Now()
+	until, past := r.front.shutdownBy.Load(), time.Now()
 	assert.Less(t, r.loop.at(*until)-r.loop.at(time.Now()), logic.Millis(1200), "nobody waits for SIGKILL")
-	r.front.until.Store(&over)
-	assert.Equal(t, 503, r.status(ask("over", "GET", "look", "")), "would not be answered before SIGKILL")
-	r.front.until.Store(until)
-	close(free)
+	r.front.shutdownBy.Store(&past)
+	assert.Equal(t, 503, r.status(requestText("over", "GET", "look", "")), "would not be answered before SIGKILL")
+	r.front.shutdownBy.Store(until)
+	close(release)
 	got, _ = exchangeOn(slow, "")
 	require.NotNil(t, got)
 	assert.Equal(t, 200, got.StatusCode)
@@ -549,23 +549,23 @@
 }
 
 // A fault in one exchange must not take the others with it.
-func TestPanics(t *testing.T) {
+func TestPanicsAreContained(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
-	r := begin(t, known(s), nil)
-	plain := r.loop.up.dial
+	r := startSidecar(t, listOf(s), nil)
+	plain := r.loop.upstream.dial
 	var once sync.Once
-	r.loop.up.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	r.loop.upstream.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		once.Do(func() { panic("in a leg") })
 		return plain(ctx, network, addr)
 	}
-	assert.Equal(t, 502, r.status(ask("1", "POST", "buy", "Content-Length: 0\r\n")))
+	assert.Equal(t, 502, r.status(requestText("1", "POST", "buy", "Content-Length: 0\r\n")))
 	x := &exchange{id: "2", answer: make(chan answer, 1)}
-	r.loop.post(legOver{x: x, n: 5})
+	r.loop.post(legEnded{x: x, n: 5})
 	assert.Equal(t, 502, (<-x.answer).status, "in the loop")
-	assert.Equal(t, 200, r.status(ask("3", "POST", "buy", "Content-Length: 0\r\n")))
+	assert.Equal(t, 200, r.status(requestText("3", "POST", "buy", "Content-Length: 0\r\n")))
 	assert.EqualValues(t, 2, r.front.counters.panics.Load())
-	broken := &front{sockets: newSockets(100, &Counters{}), counters: &Counters{}, log: zap.NewNop(), loop: r.loop, bodyRoom: 1}
-	q, err := http.ReadRequest(bufio.NewReader(strings.NewReader(ask("4", "GET", "look", ""))))
+	broken := &clientServer{descriptors: newDescriptorLimiter(100, &Counters{}), counters: &Counters{}, log: zap.NewNop(), loop: r.loop, maxBodyBytesTotal: 1}
+	q, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("4", "GET", "look", ""))))
 	require.NoError(t, err)
 	w := httptest.NewRecorder()
 	broken.ServeHTTP(w, q) // it has no names
@@ -574,8 +574,8 @@
 }
 
 // When nobody decides in time, the loop answers: no exchange is lost.
-func TestBackstop(t *testing.T) {
-	r := begin(t, known(newStandIn(t, silent)), nil)
+func TestOverdueExchangeIsAnswered(t *testing.T) {
+	r := startSidecar(t, listOf(newStandIn(t, silent)), nil)
 	x := &exchange{id: "1", answer: make(chan answer, 1)}
 	r.loop.post(arrival{x}) // its abandon time has passed already
 	a := <-x.answer
@@ -583,22 +583,22 @@
 }
 
 // An exchange that is over keeps no body, though the alarm of its abandon time is still to come.
-func TestBodyLetGo(t *testing.T) {
-	r := begin(t, known(newStandIn(t, say(fine, true))), nil)
-	x := &exchange{id: "1", abandon: r.loop.at(time.Now()) + 60000, answer: make(chan answer, 1), request: request{
+func TestFinishedExchangeKeepsNoBody(t *testing.T) {
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), nil)
+	x := &exchange{id: "1", deadline: r.loop.at(time.Now()) + 60000, answer: make(chan answer, 1), request: request{
 		method: "POST", head: []byte("POST /buy HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n"), body: []byte("hello")}}
 	r.loop.post(arrival{x})
 	assert.Equal(t, 200, (<-x.answer).status)
 	kept := make(chan bool)
-	r.loop.post(probe(func(l *loop) { kept <- x.request.body != nil || x.legs != nil || l.open["1"] != nil }))
+	r.loop.post(probe(func(l *loop) { kept <- x.request.body != nil || x.legs != nil || l.exchanges["1"] != nil }))
 	assert.False(t, <-kept)
 }
 
 // All troubles at once: each exchange gets one answer in time, and no effect comes twice or after a dismissal.
-func TestRulesHoldInTrouble(t *testing.T) {
+func TestGuaranteesHoldUnderMixedFailures(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{} // by id, of single-use exchanges that were begun
-	turn := 0
+	requests := 0
 	scripts := []func(net.Conn, *http.Request) bool{
 		say(fine, true), say(fine, true), say("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true), say(fine, false), hangUp,
 		say("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello", false), say(fine, true), silent,
@@ -607,19 +607,19 @@
 	for range 4 {
 		endpoints = append(endpoints, newStandIn(t, func(c net.Conn, q *http.Request) bool {
 			mu.Lock()
-			turn++
-			now := turn
-			if now%3 > 0 && q.Method == "POST" {
+			requests++
+			number := requests
+			if number%3 > 0 && q.Method == "POST" {
 				ran[q.Header.Get("Request-Id")]++
 			}
 			mu.Unlock()
-			if now%3 == 0 {
+			if number%3 == 0 {
 				return say("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true)(c, q)
 			}
-			return scripts[now%len(scripts)](c, q)
+			return scripts[number%len(scripts)](c, q)
 		}).Listener)
 	}
-	r := begin(t, known(endpoints...), nil)
+	r := startSidecar(t, listOf(endpoints...), nil)
 	stop := make(chan bool)
 	go func() { // endpoints drain and come back all the while
 		for n := 0; ; n++ {
@@ -639,9 +639,9 @@
 		all.Go(func() {
 			for n := range 12 {
 				id := fmt.Sprintf("%d-%d", client, n)
-				text := ask(id, "POST", "buy", "Content-Length: 0\r\n")
+				text := requestText(id, "POST", "buy", "Content-Length: 0\r\n")
 				if n%3 == 0 {
-					text = ask(id, "GET", "look", "")
+					text = requestText(id, "GET", "look", "")
 				}
 				began := time.Now()
 				got, body := exchangeOn(r.dial(), strings.Replace(text, "900m", "300m", 1))
@@ -663,5 +663,5 @@
 	c := r.front.counters
 	assert.EqualValues(t, 12*12, c.taken.Load())
 	assert.EqualValues(t, 12*12, c.satisfied.Load()+c.dismissed.Load()+c.forfeited.Load())
-	assert.Zero(t, c.panics.Load()+c.left.Load()+r.loop.held.Load())
+	assert.Zero(t, c.panics.Load()+c.left.Load()+r.loop.unanswered.Load())
 }
--- a/internal/sidecar/start.go
+++ b/internal/sidecar/start.go
@@ -139,7 +139,7 @@
 	if s.Sockets == 0 {
 		s.Sockets = 1024
 	}
-	if least := 2*fixedSockets + callersMost*min(len(s.Console), 1); s.Sockets < least {
+	if least := 2*reservedDescriptors + callersMost*min(len(s.Console), 1); s.Sockets < least {
 		return nil, fmt.Errorf("limits: %d sockets are needed", least)
 	}
 	if s.MemoryMB == 0 {
@@ -149,7 +149,7 @@
 		s.idleClose = 10000
 	}
 	s.terms, s.names = terms.From(settings, seed)
-	if seeded == "budget" {
+	if injectedFault == "budget" {
 		s.terms.BudgetWindow = 0
 	}
 	if s.terms.AskWithin <= 0 {
@@ -160,7 +160,7 @@
 	s.terms.Notified = logic.NotificationBounds{
 		Reached: millis(notifiedAfterReached), Moved: millis(notifiedAfterMoved), Ended: millis(notifiedAfterEnded),
 	}
-	if seeded == "calls" {
+	if injectedFault == "calls" {
 		s.terms.Notified = logic.NotificationBounds{}
 	}
 	if k := v.Get("known"); k != nil && k.Type() != fastjson.TypeNull {
@@ -246,9 +246,9 @@
 		srv.pair.moving.Store(-1)
 	}
 	if past != nil {
-		srv.loop.hands.Inherit(past.out, past.ever)
+		srv.loop.operatorDrains.Inherit(past.out, past.ever)
 		if past.told != nil {
-			srv.loop.postFirst(siblingTold{*past.told})
+			srv.loop.postUrgent(siblingTold{*past.told})
 		}
 	}
 	if s.Console != "" {
@@ -256,7 +256,7 @@
 		if err != nil {
 			return fmt.Errorf("console: %w", err)
 		}
-		desk := &console{front: srv, hands: srv.loop.hands, log: log}
+		desk := &console{front: srv, hands: srv.loop.operatorDrains, log: log}
 		web := desk.httpServer()
 		defer web.Close()
 		go desk.serve(web, at)
@@ -276,13 +276,13 @@
 	if srv.pair != nil {
 		srv.pair.assure()
 	}
-	log.Info("ends", srv.counters.fields(srv.sockets)...)
+	log.Info("ends", srv.counters.fields(srv.descriptors)...)
 	return err
 }
 
 // follow takes over a new discovery from the file whenever it is told to, also while the process ends. A file that can't
 // be used changes nothing: an end on SIGHUP would be a crash.
-func (s *Start) follow(ctx context.Context, srv *front, again <-chan os.Signal, read func() (*Start, error)) {
+func (s *Start) follow(ctx context.Context, srv *clientServer, again <-chan os.Signal, read func() (*Start, error)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -300,7 +300,7 @@
 		if fresh.Listen != s.Listen || fresh.lasting != s.lasting {
 			srv.log.Warn("another listen, limits or settings wait for a restart")
 		}
-		srv.loop.postFirst(moved{fresh.Discovery}) // its time runs from the signal, whatever waits in the queue
+		srv.loop.postUrgent(moved{fresh.Discovery}) // its time runs from the signal, whatever waits in the queue
 	}
 }
 
@@ -350,48 +350,48 @@
 }
 
 // assemble starts all parts but the listener's; they end with ctx.
-func (s *Start) assemble(ctx context.Context, log *zap.Logger) *front {
+func (s *Start) assemble(ctx context.Context, log *zap.Logger) *clientServer {
 	counters := &Counters{classes: make([]classCounters, len(s.terms.Products))}
 	limit := s.Sockets
 	if s.Console != "" {
 		limit -= callersMost
 	}
-	books := newSockets(limit, counters)
-	books.set = s.Sockets - limit + fixedSockets
+	books := newDescriptorLimiter(limit, counters)
+	books.reserved = s.Sockets - limit + reservedDescriptors
 	up := newUpstream(s.connect, s.idleClose, books, counters)
 	list := newLists(s.Discovery, s.silence, s.names)
 	list.configured = s.readAt
 	l := newLoop(ctx, s.terms, s.known, up, list, hands.New(s.dir, log), counters, log)
 	l.grace = s.grace / 2
-	srv := &front{
-		loop: l, names: s.names, products: s.terms.Products, sockets: books, counters: counters, log: log,
-		bodyRoom: int64(s.MemoryMB) << 20 / 4, keptMost: max(int64(s.MemoryMB)<<20/256, bodyMost),
+	srv := &clientServer{
+		loop: l, names: s.names, products: s.terms.Products, descriptors: books, counters: counters, log: log,
+		maxBodyBytesTotal: int64(s.MemoryMB) << 20 / 4, maxBufferedBodyBytes: max(int64(s.MemoryMB)<<20/256, bodyMost),
 	}
-	up.behind = func() bool { return srv.pace.behind(time.Since(l.started)) > 0 }
+	up.behind = func() bool { return srv.stalls.readDelay(time.Since(l.started)) > 0 }
 	s.joinPool(ctx, l)
 	go l.run()
 	go sweeping(ctx, up)
 	if log.Core().Enabled(zap.DebugLevel) {
 		go srv.telling(ctx)
 	}
-	go srv.keepPace(ctx)
+	go srv.detectStalls(ctx)
 	if s.Console != "" {
-		go l.hands.Run(ctx)
+		go l.operatorDrains.Run(ctx)
 	}
 	return srv
 }
 
 // serve takes clients until ctx ends; heir is nil unless the process takes over from another.
-func (s *Start) serve(ctx context.Context, srv *front, ln *net.TCPListener, heir *pair) error {
+func (s *Start) serve(ctx context.Context, srv *clientServer, ln *net.TCPListener, heir *pair) error {
 	web := srv.httpServer()
 	failed := make(chan error, 1)
-	listener := newClientListener(ln, srv.sockets, srv.log)
+	listener := newClientListener(ln, srv.descriptors, srv.log)
 	srv.listener.Store(listener)
 	if heir != nil {
 		heir.openWhenSettled(srv.loop.ctx)
 	}
 	go func() { failed <- web.Serve(listener) }()
-	srv.open.Store(true)
+	srv.accepting.Store(true)
 	srv.log.Info("serving", zap.String("name", s.Name), zap.String("listen", ln.Addr().String()))
 	select {
 	case err := <-failed:
@@ -403,7 +403,7 @@
 }
 
 // telling logs figures and the module's view once a second; only who asks for the least level pays for it.
-func (f *front) telling(ctx context.Context) {
+func (f *clientServer) telling(ctx context.Context) {
 	beat := time.NewTicker(time.Second)
 	defer beat.Stop()
 	for {
@@ -411,8 +411,8 @@
 		case <-ctx.Done():
 			return
 		case <-beat.C:
-			f.log.Debug("figures", f.counters.fields(f.sockets)...)
-			f.loop.post(question{})
+			f.log.Debug("figures", f.counters.fields(f.descriptors)...)
+			f.loop.post(logView{})
 		}
 	}
 }
@@ -433,13 +433,13 @@
 // finish accepts for as long as connections come, answers what is held, and ends once no client is connected. Kept
 // connections are closed while the door is open: a request that crosses that comes again on a new one, and must find us.
 // Whatever was begun on a connection, be it the first byte of a head, is waited for.
-func (s *Start) finish(srv *front, web *http.Server, ln net.Listener) {
+func (s *Start) finish(srv *clientServer, web *http.Server, ln net.Listener) {
 	began := time.Now()
 	longest := s.longest()
 	until := began.Add(longest + endMargin/2)
-	srv.until.Store(&until)
-	srv.loop.postFirst(asked(func(l *loop) { l.hasten(l.at(until)) }))
-	srv.log.Info("ending", zap.Int64("held", srv.loop.held.Load()))
+	srv.shutdownBy.Store(&until)
+	srv.loop.postUrgent(asked(func(l *loop) { l.capDeadlines(l.at(until)) }))
+	srv.log.Info("ending", zap.Int64("held", srv.loop.unanswered.Load()))
 	accepting := true
 	beat := time.NewTicker(10 * time.Millisecond)
 	defer beat.Stop()
@@ -448,23 +448,23 @@
 		if accepting && srv.pair != nil && srv.pair.succeeds() {
 			// Whoever comes now is in a queue that the new process serves.
 			accepting = false
-			srv.succeeded.Store(true)
+			srv.replaced.Store(true)
 			ln.Close()
 			srv.log.Info("the new process has the door")
 		}
-		if accepting && gone > acceptLast && (srv.listener.Load().quiet() > quietLast || time.Now().After(until)) {
+		if accepting && gone > acceptLast && (srv.listener.Load().sinceLastAccept() > quietLast || time.Now().After(until)) {
 			accepting = false
 			ln.Close()
 		}
 		if gone > quietLast { // until then those that are used close with their answer
-			srv.sockets.shedQuiet(!accepting)
+			srv.descriptors.evictQuiet(!accepting)
 		}
-		clients, _ := srv.sockets.held()
-		if !accepting && clients == 0 && srv.handlers.Load() == 0 && srv.loop.held.Load() == 0 {
+		clients, _ := srv.descriptors.connections()
+		if !accepting && clients == 0 && srv.activeHandlers.Load() == 0 && srv.loop.unanswered.Load() == 0 {
 			break
 		}
 		// A transfer that goes on has no abandon time: whoever sends SIGKILL decides how long it may take.
-		if gone > longest+endMargin && srv.transfers.Load()+srv.inHand.Load() == 0 || gone > transferLast {
+		if gone > longest+endMargin && srv.transfers.Load()+srv.activeRequests.Load() == 0 || gone > transferLast {
 			break
 		}
 	}
