--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -21,64 +21,64 @@
 )
 
 const (
-	flowMost   = 32 << 10                // bytes that a flow holds before its writer waits
-	partMost   = 16 << 10                // bytes written at once
-	longMost   = 48 << 20                // bytes of an answer or a request; more is a mistake
-	flowStall  = 12 * time.Second        // without a byte, in a transfer that has begun: peers may take seconds
-	headTime   = 2400 * time.Millisecond // from connecting, or a request's first byte, to the end of its head
-	bodyStart  = 1500 * time.Millisecond // behind the head, for a body to begin
-	bodyRate   = 44 << 10                // bytes a second, from then on: no client is asked for 64 kB
-	drainTime  = 3 * time.Second         // for the rest of a request that was answered before its end
-	beginShare = 0.5                     // of the expected time, until an answer of unknown length is passed on
+	pipeBytes             = 32 << 10                // bytes that a flow holds before its writer waits
+	copyChunkBytes        = 16 << 10                // bytes written at once
+	maxStreamedBytes      = 48 << 20                // bytes of an answer or a request; more is a mistake
+	streamStallTimeout    = 12 * time.Second        // without a byte, in a transfer that has begun: peers may take seconds
+	headReadTimeout       = 2400 * time.Millisecond // from connecting, or a request's first byte, to the end of its head
+	bodyStartTimeout      = 1500 * time.Millisecond // behind the head, for a body to begin
+	minBodyBytesPerSecond = 44 << 10                // bytes a second, from then on: no client is asked for 64 kB
+	bodyDiscardTime       = 3 * time.Second         // for the rest of a request that was answered before its end
+	streamAfterShare      = 0.5                     // of the expected time, until an answer of unknown length is passed on
 )
 
-var errDropped = errors.New("nobody takes the rest")
+var errReaderGone = errors.New("nobody takes the rest")
 
 // flow is bounded: who writes waits while it is full. Its reader gets what there is, the end once all is read, or why
 // there is none.
-type flow struct {
-	mu      sync.Mutex
-	changed sync.Cond
-	held    []byte
-	free    bool // nothing waits yet: what is held may grow to its writer's own bound
-	err     error
-	dropped bool
+type bodyPipe struct {
+	mu        sync.Mutex
+	changed   sync.Cond
+	buffered  []byte
+	unbounded bool // nothing waits yet: what is held may grow to its writer's own bound
+	err       error
+	discarded bool
 }
 
-func newFlow() *flow {
-	f := &flow{}
+func newBodyPipe() *bodyPipe {
+	f := &bodyPipe{}
 	f.changed.L = &f.mu
 	return f
 }
 
 // put adds a part, or says that nobody takes it.
-func (f *flow) put(p []byte) error {
+func (f *bodyPipe) write(p []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for !f.free && !f.dropped && len(f.held) > 0 && len(f.held)+len(p) > flowMost {
+	for !f.unbounded && !f.discarded && len(f.buffered) > 0 && len(f.buffered)+len(p) > pipeBytes {
 		f.changed.Wait()
 	}
-	if f.dropped {
-		return errDropped
+	if f.discarded {
+		return errReaderGone
 	}
-	f.held = append(f.held, p...)
+	f.buffered = append(f.buffered, p...)
 	f.changed.Broadcast()
 	return nil
 }
 
 // take waits for more, and leaves spare for what comes next.
-func (f *flow) take(spare []byte) ([]byte, error) {
+func (f *bodyPipe) read(spare []byte) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for len(f.held) == 0 && f.err == nil && !f.dropped {
+	for len(f.buffered) == 0 && f.err == nil && !f.discarded {
 		f.changed.Wait()
 	}
 	switch {
-	case f.dropped:
-		return nil, errDropped
-	case len(f.held) > 0:
-		p := f.held
-		f.held = spare[:0]
+	case f.discarded:
+		return nil, errReaderGone
+	case len(f.buffered) > 0:
+		p := f.buffered
+		f.buffered = spare[:0]
 		f.changed.Broadcast()
 		return p, nil
 	}
@@ -86,7 +86,7 @@
 }
 
 // close tells the reader that no more comes: io.EOF if all is there.
-func (f *flow) close(err error) {
+func (f *bodyPipe) close(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.err == nil {
@@ -96,35 +96,35 @@
 }
 
 // drop tells the writer that nobody reads.
-func (f *flow) drop() {
+func (f *bodyPipe) discard() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dropped, f.held = true, nil
+	f.discarded, f.buffered = true, nil
 	f.changed.Broadcast()
 }
 
 // ---- answers
 
 // prelude is the part of an answer before it is known whether it is short, and so kept whole, or passed on as it comes.
-type prelude struct {
-	*flow
-	mu    sync.Mutex
-	size  int
-	due   bool // it has its time behind it: the first byte begins it
-	begun bool
-	over  bool
-	begin func()
+type undecidedAnswer struct {
+	*bodyPipe
+	mu      sync.Mutex
+	size    int
+	pastDue bool // it has its time behind it: the first byte begins it
+	started bool
+	ended   bool
+	onStart func()
 }
 
 // put adds a part; begun tells whether somebody may read it by now.
-func (p *prelude) put(part []byte, long bool) error {
-	if err := p.flow.put(part); err != nil {
+func (p *undecidedAnswer) write(part []byte, long bool) error {
+	if err := p.bodyPipe.write(part); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	p.size += len(part)
-	start := !p.begun && (long || p.due || p.size > bodyMost)
-	p.begun = p.begun || start
+	start := !p.started && (long || p.pastDue || p.size > bodyMost)
+	p.started = p.started || start
 	p.mu.Unlock()
 	if start {
 		p.start()
@@ -132,19 +132,19 @@
 	return nil
 }
 
-func (p *prelude) start() {
-	p.flow.mu.Lock()
-	p.flow.free = false
-	p.flow.mu.Unlock()
-	p.begin()
+func (p *undecidedAnswer) start() {
+	p.bodyPipe.mu.Lock()
+	p.bodyPipe.unbounded = false
+	p.bodyPipe.mu.Unlock()
+	p.onStart()
 }
 
 // hurry begins an answer whose end nobody knows, for as long as it has not come.
-func (p *prelude) hurry() {
+func (p *undecidedAnswer) startWhenDue() {
 	p.mu.Lock()
-	p.due = true
-	start := !p.begun && !p.over && p.size > 0
-	p.begun = p.begun || start
+	p.pastDue = true
+	start := !p.started && !p.ended && p.size > 0
+	p.started = p.started || start
 	if start {
 		p.start() // under the lock: the end must not be told before the beginning
 	}
@@ -152,49 +152,49 @@
 }
 
 // finish ends it and tells whether it had begun; if not, all of it is still there.
-func (p *prelude) finish() (begun bool) {
+func (p *undecidedAnswer) finish() (started bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over = true
-	return p.begun
+	p.ended = true
+	return p.started
 }
 
 // stream takes an answer that is long, or may be.
 func (k *link) stream(g *leg, got *http.Response, length int64) (r *reply, body []byte, err error) {
-	p := &prelude{flow: newFlow()}
-	p.free = true
-	r = &reply{header: got.Header, length: length, flow: p.flow}
-	p.begin = func() {
+	p := &undecidedAnswer{bodyPipe: newBodyPipe()}
+	p.unbounded = true
+	r = &reply{header: got.Header, length: length, flow: p.bodyPipe}
+	p.onStart = func() {
 		k.flowing.Store(true)
 		k.wait(g)
 		if g.began != nil {
 			g.began(r)
 		}
 	}
-	stop := g.onCancel(p.drop)
+	stop := g.onCancel(p.discard)
 	defer stop()
 	if length < 0 && !g.beginBy.IsZero() {
-		hurry := time.AfterFunc(time.Until(g.beginBy), p.hurry)
+		hurry := time.AfterFunc(time.Until(g.beginBy), p.startWhenDue)
 		defer hurry.Stop()
 	}
-	part, total, from := make([]byte, partMost), int64(0), io.Reader(got.Body)
+	part, total, from := make([]byte, copyChunkBytes), int64(0), io.Reader(got.Body)
 	if len(got.TransferEncoding) > 0 {
-		from = &chunks{from: k.reader}
+		from = &chunkedReader{source: k.reader}
 	}
 	for err == nil {
 		var n int
 		n, err = from.Read(part)
-		if total += int64(n); total > longMost {
+		if total += int64(n); total > maxStreamedBytes {
 			err = errTooLong
 		} else if n > 0 {
-			if e := p.put(part[:n], length > bodyMost); e != nil {
+			if e := p.write(part[:n], length > bodyMost); e != nil {
 				err = e
 			}
 		}
 	}
 	if !p.finish() {
 		if err == io.EOF {
-			return nil, p.held, nil
+			return nil, p.buffered, nil
 		}
 		return nil, nil, err
 	}
@@ -207,125 +207,125 @@
 
 // pass writes a long answer to the client as it comes. A fault of the endpoint's comes back as such: the connection has to
 // be broken off, so that the client can tell.
-func (a answer) pass(w http.ResponseWriter) (whole bool, fault error) {
+func (a answer) streamTo(w http.ResponseWriter) (complete bool, err error) {
 	control := http.NewResponseController(w)
-	a.head(w.Header())
+	a.setHeaders(w.Header())
 	if a.length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(a.length, 10))
 	}
 	w.WriteHeader(a.status)
-	var part []byte
+	var spare []byte
 	for {
-		next, err := a.flow.take(part)
-		if err == io.EOF {
+		data, readErr := a.stream.read(spare)
+		if readErr == io.EOF {
 			return true, nil
 		}
-		if err != nil {
-			return false, err
+		if readErr != nil {
+			return false, readErr
 		}
-		for rest := next; len(rest) > 0; {
-			now := rest[:min(len(rest), partMost)]
-			rest = rest[len(now):]
-			control.SetWriteDeadline(time.Now().Add(flowStall))
-			if _, err = w.Write(now); err == nil {
-				err = control.Flush()
+		for rest := data; len(rest) > 0; {
+			chunk := rest[:min(len(rest), copyChunkBytes)]
+			rest = rest[len(chunk):]
+			control.SetWriteDeadline(time.Now().Add(streamStallTimeout))
+			if _, readErr = w.Write(chunk); readErr == nil {
+				readErr = control.Flush()
 			}
-			if err != nil {
-				a.flow.drop()
+			if readErr != nil {
+				a.stream.discard()
 				return false, nil
 			}
 		}
-		part = next
+		spare = data
 	}
 }
 
 // ---- requests
 
 // paced reads a body at least as fast as is asked of clients; time that we did not read in is not theirs.
-type paced struct {
-	from    io.Reader
-	control *http.ResponseController
-	by      time.Time // for the first byte
-	got     int64
+type minRateReader struct {
+	source        io.Reader
+	control       *http.ResponseController
+	startBy       time.Time // for the first byte
+	receivedBytes int64
 }
 
-func (p *paced) Read(b []byte) (int, error) {
-	p.control.SetReadDeadline(p.by.Add(time.Duration(float64(p.got) / bodyRate * float64(time.Second))))
-	n, err := p.from.Read(b)
-	p.got += int64(n)
+func (p *minRateReader) Read(b []byte) (int, error) {
+	p.control.SetReadDeadline(p.startBy.Add(time.Duration(float64(p.receivedBytes) / minBodyBytesPerSecond * float64(time.Second))))
+	n, err := p.source.Read(b)
+	p.receivedBytes += int64(n)
 	return n, err
 }
 
 // incoming is a long request on its way to an endpoint.
-type incoming struct {
-	*flow
-	length int64 // -1 if nobody has said
-	until  time.Time
+type streamedRequest struct {
+	*bodyPipe
+	length   int64 // -1 if nobody has said
+	deadline time.Time
 }
 
 // pump reads a long request from its client until its end. What nobody takes any more is read for a while, or the client
 // would find its connection broken before it has read its answer.
-func (s *front) pump(x *exchange, in *incoming, from *paced) (err error) {
-	part, limit := make([]byte, partMost), time.Time{}
-	for err == nil && (limit.IsZero() || time.Now().Before(limit)) {
+func (s *clientServer) receiveBody(x *exchange, body *streamedRequest, source *minRateReader) (err error) {
+	chunk, discardUntil := make([]byte, copyChunkBytes), time.Time{}
+	for err == nil && (discardUntil.IsZero() || time.Now().Before(discardUntil)) {
 		var n int
-		n, err = from.Read(part)
-		began := time.Now()
-		if n > 0 && limit.IsZero() && in.put(part[:n]) != nil {
-			limit = time.Now().Add(drainTime)
-			from.by = from.by.Add(time.Since(began))
+		n, err = source.Read(chunk)
+		writeStart := time.Now()
+		if n > 0 && discardUntil.IsZero() && body.write(chunk[:n]) != nil {
+			discardUntil = time.Now().Add(bodyDiscardTime)
+			source.startBy = source.startBy.Add(time.Since(writeStart))
 			continue
 		}
-		from.by = from.by.Add(time.Since(began)) // the endpoint let us wait, not the client
+		source.startBy = source.startBy.Add(time.Since(writeStart)) // the endpoint let us wait, not the client
 	}
 	if err == io.EOF {
-		whole := x.client.earlier(time.Now())
-		in.until = whole.Add(span(x.wait))
-		s.loop.post(bodyCame{x, s.loop.at(whole) + x.wait})
-		from.control.SetReadDeadline(time.Time{})
+		completeAt := x.client.earlierReceipt(time.Now())
+		body.deadline = completeAt.Add(span(x.clientTimeout))
+		s.loop.post(requestReceived{x, s.loop.at(completeAt) + x.clientTimeout})
+		source.control.SetReadDeadline(time.Time{})
 		if x.client != nil {
-			x.client.whole.Store(true)
+			x.client.bodyEndRead.Store(true)
 		}
-		in.close(io.EOF)
+		body.close(io.EOF)
 		return nil
 	}
 	if err == nil {
 		err = os.ErrDeadlineExceeded
 	}
-	in.close(err)
+	body.close(err)
 	return err
 }
 
 // runLong carries a long request. The endpoint may answer before its end, and then never began it.
-func (u *upstream) runLong(k *link, g *leg, head net.Buffers) (r *reply, keepOpen bool, fault *legError) {
-	far := time.Now().Add(time.Hour)
-	g.over.Store(&far)
+func (u *upstream) runStreamed(k *link, g *leg, head net.Buffers) (r *reply, keepOpen bool, fault *legError) {
+	noDeadline := time.Now().Add(time.Hour)
+	g.over.Store(&noDeadline)
 	k.conn.SetDeadline(time.Time{})
 	type end struct {
 		at  reach
 		err error
 	}
-	wrote := make(chan end, 1)
+	uploaded := make(chan end, 1)
 	go func() {
 		at, err := u.upload(k, g, head)
 		if err != nil {
 			k.conn.SetReadDeadline(time.Now().Add(u.stall / 5)) // for what it may have said about that
 		}
-		wrote <- end{at, err}
+		uploaded <- end{at, err}
 	}()
 	r, keepOpen, fault = k.read(g)
 	early := true
 	select {
-	case e := <-wrote:
-		wrote <- e
+	case e := <-uploaded:
+		uploaded <- e
 		early = e.err != nil
 	default:
 	}
 	if early {
-		g.request.rest.drop()
+		g.request.rest.discard()
 		k.conn.SetWriteDeadline(time.Unix(1, 0))
 	}
-	e := <-wrote
+	e := <-uploaded
 	switch {
 	case e.err == nil:
 		return r, keepOpen, fault
@@ -341,22 +341,22 @@
 
 // upload writes a long request. Once it is whole its time runs.
 func (u *upstream) upload(k *link, g *leg, head net.Buffers) (reach, error) {
-	in := g.request.rest
-	k.conn.SetWriteDeadline(time.Now().Add(flowStall))
+	body := g.request.rest
+	k.conn.SetWriteDeadline(time.Now().Add(streamStallTimeout))
 	if _, err := head.WriteTo(k.conn); err != nil {
 		return writing, err
 	}
-	chunked := in.length < 0
-	if kept := g.request.body; chunked && len(kept) > 0 {
-		if err := writeChunk(k.conn, kept); err != nil {
+	chunked := body.length < 0
+	if first := g.request.body; chunked && len(first) > 0 {
+		if err := writeChunk(k.conn, first); err != nil {
 			return writing, err
 		}
-	} else if _, err := k.conn.Write(kept); err != nil {
+	} else if _, err := k.conn.Write(first); err != nil {
 		return writing, err
 	}
-	var part []byte
+	var spare []byte
 	for spent := false; ; {
-		next, err := in.take(part)
+		data, err := body.read(spare)
 		if err == io.EOF {
 			break
 		}
@@ -367,16 +367,16 @@
 			spent = true
 			g.spent()
 		}
-		k.conn.SetWriteDeadline(time.Now().Add(flowStall))
+		k.conn.SetWriteDeadline(time.Now().Add(streamStallTimeout))
 		if chunked {
-			err = writeChunk(k.conn, next)
+			err = writeChunk(k.conn, data)
 		} else {
-			_, err = k.conn.Write(next)
+			_, err = k.conn.Write(data)
 		}
 		if err != nil {
 			return writing, err
 		}
-		part = next
+		spare = data
 	}
 	if chunked {
 		if _, err := io.WriteString(k.conn, "0\r\n\r\n"); err != nil {
@@ -384,11 +384,11 @@
 		}
 	}
 	u.counters.class(g.request.class).legs.Add(1)
-	g.over.Store(&in.until)
+	g.over.Store(&body.deadline)
 	if g.whole != nil {
 		g.whole()
 	}
-	k.conn.SetReadDeadline(in.until)
+	k.conn.SetReadDeadline(body.deadline)
 	if g.ctx.Err() != nil {
 		k.conn.SetReadDeadline(time.Unix(1, 0))
 	}
@@ -403,36 +403,36 @@
 
 // chunks reads a body in chunks and hands over what has come. The standard library's reader waits until a chunk is whole or
 // its buffer full: a slow answer's first bytes would be held back until the leg's time is over.
-type chunks struct {
-	from *bufio.Reader
-	left uint64 // of this chunk
-	some bool   // a chunk's data came before
+type chunkedReader struct {
+	source    *bufio.Reader
+	chunkLeft uint64 // of this chunk
+	started   bool   // a chunk's data came before
 }
 
-const trailerMost = 16 << 10
+const maxTrailerBytes = 16 << 10
 
-func (c *chunks) Read(p []byte) (int, error) {
-	for c.left == 0 {
-		if c.some {
-			if line, err := c.line(); err != nil || len(line) > 0 {
+func (c *chunkedReader) Read(p []byte) (int, error) {
+	for c.chunkLeft == 0 {
+		if c.started {
+			if line, err := c.readLine(); err != nil || len(line) > 0 {
 				return 0, cmp.Or(err, errSpoilt)
 			}
 		}
-		line, err := c.line()
+		line, err := c.readLine()
 		if err != nil {
 			return 0, err
 		}
 		size, _, _ := bytes.Cut(line, []byte(";"))
-		if c.left, err = strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 48); err != nil || len(size) == 0 || size[0] == '+' {
+		if c.chunkLeft, err = strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 48); err != nil || len(size) == 0 || size[0] == '+' {
 			return 0, errSpoilt
 		}
-		c.some = true
-		if c.left == 0 {
-			return 0, c.trailers()
+		c.started = true
+		if c.chunkLeft == 0 {
+			return 0, c.readTrailers()
 		}
 	}
-	n, err := c.from.Read(p[:min(uint64(len(p)), c.left)])
-	c.left -= uint64(n)
+	n, err := c.source.Read(p[:min(uint64(len(p)), c.chunkLeft)])
+	c.chunkLeft -= uint64(n)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
@@ -440,8 +440,8 @@
 }
 
 // line is one without its end.
-func (c *chunks) line() ([]byte, error) {
-	line, err := c.from.ReadSlice('\n')
+func (c *chunkedReader) readLine() ([]byte, error) {
+	line, err := c.source.ReadSlice('\n')
 	switch {
 	case err == io.EOF:
 		return nil, io.ErrUnexpectedEOF
@@ -453,9 +453,9 @@
 	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
 }
 
-func (c *chunks) trailers() error {
-	for size := 0; size < trailerMost; {
-		line, err := c.line()
+func (c *chunkedReader) readTrailers() error {
+	for size := 0; size < maxTrailerBytes; {
+		line, err := c.readLine()
 		if err != nil {
 			return err
 		}
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -19,7 +19,7 @@
 )
 
 // slowly writes parts with a pause before each but the first.
-func slowly(pause time.Duration, parts ...string) func(net.Conn, *http.Request) bool {
+func writeSlowly(pause time.Duration, parts ...string) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, _ *http.Request) bool {
 		for n, p := range parts {
 			if n > 0 {
@@ -32,7 +32,7 @@
 }
 
 // An answer that is passed on is bounded by its pace alone, neither by the leg's time nor by the pause of a short one.
-func TestLongAnswersOutlastTheirTime(t *testing.T) {
+func TestStreamedAnswerOutlivesTheLegTimeout(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	long := strings.Repeat("x", bodyMost)
 	for name, parts := range map[string][]string{
@@ -43,7 +43,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			u, s := testUpstream(t, 100), newStandIn(t, slowly(600*time.Millisecond, parts...))
+			u, s := testUpstream(t, 100), newStandIn(t, writeSlowly(600*time.Millisecond, parts...))
 			g := testLeg(u, s.Addr().String(), 300*time.Millisecond)
 			g.beginBy = time.Now().Add(100 * time.Millisecond)
 			got := make(chan []byte, 1)
@@ -51,7 +51,7 @@
 				go func() {
 					var all, part []byte
 					for {
-						next, err := r.flow.take(part)
+						next, err := r.flow.read(part)
 						if err != nil {
 							assert.Equal(t, io.EOF, err)
 							got <- all
@@ -71,7 +71,7 @@
 func longBody(size int) string { return strings.Repeat("0123456789abcdef", size/16) }
 
 // A long answer that breaks off is never taken for whole, and counts as failed; what came before the break was passed on.
-func TestLongAnswerBreaksOff(t *testing.T) {
+func TestBrokenStreamIsNotTakenForComplete(t *testing.T) {
 	long := longBody(4 * bodyMost)
 	for name, head := range map[string]string{
 		"length said": fmt.Sprintf("Content-Length: %d\r\n\r\n", 2*len(long)),
@@ -80,9 +80,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newStandIn(t, say("HTTP/1.1 200 OK\r\n"+head+long, false))
-			r := begin(t, known(s, s, s), withConsole(""))
+			r := startSidecar(t, listOf(s, s, s), withConsole(""))
 			c := r.dial()
-			c.Write([]byte(ask("1", "GET", "look", "")))
+			c.Write([]byte(requestText("1", "GET", "look", "")))
 			got, err := http.ReadResponse(bufio.NewReader(c), nil)
 			require.NoError(t, err)
 			body, err := io.ReadAll(got.Body)
@@ -90,42 +90,42 @@
 			assert.True(t, strings.HasPrefix(long, string(body[:len(long)/2])))
 			assert.EqualValues(t, 1, s.requests.Load(), "never patched up by another")
 			f := &r.front.counters.classes[0]
-			assert.Eventually(t, func() bool { return f.forfeited.Load() == 1 && r.front.inHand.Load() == 0 }, 5*time.Second, time.Millisecond)
+			assert.Eventually(t, func() bool { return f.forfeited.Load() == 1 && r.front.activeRequests.Load() == 0 }, 5*time.Second, time.Millisecond)
 			assert.Zero(t, f.satisfied.Load()+r.front.counters.panics.Load())
-			assert.Equal(t, 200, r.status(ask("2", "GET", "look/none", "")), "the endpoint's next answer begins as well")
+			assert.Equal(t, 200, r.status(requestText("2", "GET", "look/none", "")), "the endpoint's next answer begins as well")
 		})
 	}
 }
 
 // A client that goes away in the middle of a long answer: its leg is called off and nothing stays behind.
-func TestClientLeavesALongAnswer(t *testing.T) {
+func TestClientLeavesDuringAStreamedAnswer(t *testing.T) {
 	ended := make(chan bool)
 	s := newStandIn(t, func(c net.Conn, q *http.Request) bool {
-		c.Write([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longMost)))
+		c.Write([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxStreamedBytes)))
 		for err := error(nil); err == nil; {
 			_, err = c.Write(make([]byte, 1<<16))
 		}
 		close(ended)
 		return false
 	})
-	r := begin(t, known(s), nil)
+	r := startSidecar(t, listOf(s), nil)
 	c := r.dial()
-	c.Write([]byte(ask("1", "GET", "look", "")))
+	c.Write([]byte(requestText("1", "GET", "look", "")))
 	c.Read(make([]byte, 1000))
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 	<-ended
-	assert.Eventually(t, func() bool { return r.front.handlers.Load()+r.front.bodies.Load() == 0 }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return r.front.activeHandlers.Load()+r.front.bodyBytes.Load() == 0 }, 5*time.Second, time.Millisecond)
 	assert.Eventually(t, func() bool { return r.front.counters.legs[logic.Cancelled].Load() == 1 }, 5*time.Second, time.Millisecond)
 }
 
 // upload sends a request with a long body, in chunks or with its length said, in so many parts.
-func upload(c net.Conn, id, body string, chunked bool, parts int) (*http.Response, string) {
+func sendLongRequest(c net.Conn, id, body string, chunked bool, parts int) (*http.Response, string) {
 	head, step := fmt.Sprintf("Content-Length: %d\r\n", len(body)), len(body)/parts
 	if chunked {
 		head = "Transfer-Encoding: chunked\r\n"
 	}
-	c.Write([]byte(ask(id, "POST", "buy/x", head)))
+	c.Write([]byte(requestText(id, "POST", "buy/x", head)))
 	for at := 0; at < len(body); at += step {
 		part := body[at:min(at+step, len(body))]
 		if chunked {
@@ -142,7 +142,7 @@
 }
 
 // Requests of any length reach their endpoint as they were sent, and answers of any length their client.
-func TestLongBothWays(t *testing.T) {
+func TestLongRequestsAndAnswersArriveUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		size    int
 		chunked bool
@@ -153,29 +153,29 @@
 				body := q.Header.Get("Test-Body")
 				return say(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true)(conn, q)
 			})
-			r, body := begin(t, known(s), nil), longBody(c.size)
-			got, back := upload(r.dial(), "1", body, c.chunked, 7)
+			r, body := startSidecar(t, listOf(s), nil), longBody(c.size)
+			got, back := sendLongRequest(r.dial(), "1", body, c.chunked, 7)
 			require.NotNil(t, got, back)
 			assert.Equal(t, 200, got.StatusCode)
 			assert.True(t, back == body)
 			assert.EqualValues(t, 1, s.requests.Load())
-			assert.Eventually(t, func() bool { return r.front.inHand.Load()+r.front.bodies.Load() == 0 }, 5*time.Second, time.Millisecond)
+			assert.Eventually(t, func() bool { return r.front.activeRequests.Load()+r.front.bodyBytes.Load() == 0 }, 5*time.Second, time.Millisecond)
 		})
 	}
 }
 
 // What became of a long request that is not whole: it never ran, no endpoint takes it for whole, and it is told at once.
-func TestLongRequestThatFails(t *testing.T) {
+func TestIncompleteLongRequestsFailAtOnce(t *testing.T) {
 	t.Run("the client breaks it off", func(t *testing.T) {
 		s := newStandIn(t, say(fine, true))
-		r := begin(t, known(s), nil)
+		r := startSidecar(t, listOf(s), nil)
 		c := r.dial()
-		c.Write([]byte(ask("1", "POST", "buy", fmt.Sprintf("Content-Length: %d\r\n", 4<<20)) + longBody(1<<20)))
+		c.Write([]byte(requestText("1", "POST", "buy", fmt.Sprintf("Content-Length: %d\r\n", 4<<20)) + longBody(1<<20)))
 		c.(*net.TCPConn).CloseWrite()
 		got, body := exchangeOn(c, "")
 		require.NotNil(t, got, body)
 		assert.Equal(t, 400, got.StatusCode)
-		assert.Eventually(t, func() bool { return r.loop.held.Load() == 0 && r.front.handlers.Load() == 0 }, 5*time.Second, time.Millisecond)
+		assert.Eventually(t, func() bool { return r.loop.unanswered.Load() == 0 && r.front.activeHandlers.Load() == 0 }, 5*time.Second, time.Millisecond)
 		assert.Zero(t, s.requests.Load())
 		assert.Zero(t, r.front.counters.classes[1].legs.Load())
 	})
@@ -193,9 +193,9 @@
 				c.Write([]byte("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"))
 			}
 		}()
-		r := begin(t, known(ln), nil)
+		r := startSidecar(t, listOf(ln), nil)
 		began := time.Now()
-		got, body := upload(r.dial(), "1", longBody(3<<20), false, 3)
+		got, body := sendLongRequest(r.dial(), "1", longBody(3<<20), false, 3)
 		require.NotNil(t, got, body)
 		assert.Equal(t, 503, got.StatusCode, "it never ran: trying again is harmless")
 		assert.Less(t, time.Since(began), 2*time.Second)
@@ -204,15 +204,15 @@
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		ln.Close()
-		r := begin(t, known(ln), nil)
-		got, body := upload(r.dial(), "1", longBody(3<<20), true, 3)
+		r := startSidecar(t, listOf(ln), nil)
+		got, body := sendLongRequest(r.dial(), "1", longBody(3<<20), true, 3)
 		require.NotNil(t, got, body)
 		assert.Equal(t, 503, got.StatusCode)
 	})
 	t.Run("a client that is too slow", func(t *testing.T) {
-		r := begin(t, known(newStandIn(t, say(fine, true))), nil)
+		r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), nil)
 		c, began := r.dial(), time.Now()
-		c.Write([]byte(ask("1", "POST", "buy", fmt.Sprintf("Content-Length: %d\r\n", 4<<20)) + "x"))
+		c.Write([]byte(requestText("1", "POST", "buy", fmt.Sprintf("Content-Length: %d\r\n", 4<<20)) + "x"))
 		got, body := exchangeOn(c, "")
 		require.NotNil(t, got, body)
 		assert.Equal(t, 408, got.StatusCode)
@@ -221,12 +221,12 @@
 }
 
 // A client may take longer than its own time-out to send: its time counts from the last byte.
-func TestTimeCountsFromTheLastByte(t *testing.T) {
+func TestClientTimeoutCountsFromTheLastByte(t *testing.T) {
 	s := newStandIn(t, say(fine, true))
-	r := begin(t, known(s), nil)
+	r := startSidecar(t, listOf(s), nil)
 	for n, size := range []int{10, bodyMost * 8} {
 		c, body := r.dial(), longBody(size*16/10)
-		c.Write([]byte(strings.Replace(ask(fmt.Sprint(n), "POST", "buy", fmt.Sprintf("Content-Length: %d\r\n", len(body))), "900m", "300m", 1)))
+		c.Write([]byte(strings.Replace(requestText(fmt.Sprint(n), "POST", "buy", fmt.Sprintf("Content-Length: %d\r\n", len(body))), "900m", "300m", 1)))
 		time.Sleep(600 * time.Millisecond)
 		got, answer := exchangeOn(c, body)
 		require.NotNil(t, got, answer)
@@ -235,7 +235,7 @@
 }
 
 // Many long answers at once to clients who don't read: what is held stays within its bound.
-func TestManyLongAnswersAreBounded(t *testing.T) {
+func TestMemoryOfManyStreamsIsBounded(t *testing.T) {
 	part := make([]byte, 1<<16)
 	s := newStandIn(t, func(c net.Conn, _ *http.Request) bool {
 		c.Write([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 32<<20)))
@@ -244,48 +244,48 @@
 		}
 		return false
 	})
-	r := begin(t, known(s, s, s, s), func(s *Start) { s.MemoryMB = 64 })
+	r := startSidecar(t, listOf(s, s, s, s), func(s *Start) { s.MemoryMB = 64 })
 	const many = 60
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for n := range many {
-		r.dial().Write([]byte(ask(fmt.Sprint(n), "GET", "look", "")))
+		r.dial().Write([]byte(requestText(fmt.Sprint(n), "GET", "look", "")))
 	}
 	assert.Eventually(t, func() bool { return r.front.counters.streams.Load()+r.front.counters.dismissed.Load() >= many }, 10*time.Second, time.Millisecond)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	t.Log(int64(after.HeapAlloc)-int64(before.HeapAlloc), "bytes for", many)
-	assert.Less(t, int64(after.HeapAlloc)-int64(before.HeapAlloc), int64(many*10*flowMost), "of 32 MB each")
+	assert.Less(t, int64(after.HeapAlloc)-int64(before.HeapAlloc), int64(many*10*pipeBytes), "of 32 MB each")
 }
 
 // An endpoint that is broken off while its long answer is under way, and one whose time is over before the first byte.
-func TestFlow(t *testing.T) {
-	f, part := newFlow(), bytes.Repeat([]byte("x"), partMost)
-	assert.NoError(t, f.put(part))
-	assert.NoError(t, f.put(part))
+func TestBodyPipe(t *testing.T) {
+	f, part := newBodyPipe(), bytes.Repeat([]byte("x"), copyChunkBytes)
+	assert.NoError(t, f.write(part))
+	assert.NoError(t, f.write(part))
 	waits := make(chan error, 1)
-	go func() { waits <- f.put(part) }()
+	go func() { waits <- f.write(part) }()
 	select {
 	case <-waits:
 		t.Error("a full flow lets its writer wait")
 	case <-time.After(20 * time.Millisecond):
 	}
-	got, err := f.take(nil)
+	got, err := f.read(nil)
 	assert.NoError(t, err)
-	assert.Len(t, got, 2*partMost)
+	assert.Len(t, got, 2*copyChunkBytes)
 	assert.NoError(t, <-waits)
 	f.close(io.ErrUnexpectedEOF)
 	f.close(io.EOF)
-	got, _ = f.take(got)
-	assert.Len(t, got, partMost)
-	_, err = f.take(got)
+	got, _ = f.read(got)
+	assert.Len(t, got, copyChunkBytes)
+	_, err = f.read(got)
 	assert.Equal(t, io.ErrUnexpectedEOF, err, "the first word on its end stands")
-	f = newFlow()
-	assert.NoError(t, f.put(bytes.Repeat(part, 3)), "a part larger than the flow finds room in an empty one")
-	go func() { waits <- f.put(part) }()
-	f.drop()
-	assert.Equal(t, errDropped, <-waits)
-	_, err = f.take(nil)
-	assert.Equal(t, errDropped, err)
+	f = newBodyPipe()
+	assert.NoError(t, f.write(bytes.Repeat(part, 3)), "a part larger than the flow finds room in an empty one")
+	go func() { waits <- f.write(part) }()
+	f.discard()
+	assert.Equal(t, errReaderGone, <-waits)
+	_, err = f.read(nil)
+	assert.Equal(t, errReaderGone, err)
 }
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -21,23 +21,23 @@
 // Found by reading accept(2) beside net/http: the server ends at every error of accept that Go does not call temporary, and with it
 // the process and all that it holds. Linux passes errors of the network that lie on a new connection through accept, and gives
 // ENOBUFS and ENOMEM where socket memory is short for a moment.
-var acceptErrors = []syscall.Errno{
+var acceptErrnos = []syscall.Errno{
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ETIMEDOUT,
 }
 
 // Whatever accept fails with, the next client is served soon after, and the loop does not spin meanwhile.
-func TestAcceptGoesOnAfterSystemErrors(t *testing.T) {
-	for _, errno := range acceptErrors {
+func TestAcceptContinuesAfterSystemErrors(t *testing.T) {
+	for _, errno := range acceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			d := newClientListener(ln.(*net.TCPListener), newSockets(100, &Counters{}), zap.NewNop())
+			d := newClientListener(ln.(*net.TCPListener), newDescriptorLimiter(100, &Counters{}), zap.NewNop())
 			var calls atomic.Int64
 			failsUntil := time.Now().Add(300 * time.Millisecond)
-			accept := d.accept
-			d.accept = func() (*net.TCPConn, error) {
+			accept := d.acceptTCP
+			d.acceptTCP = func() (*net.TCPConn, error) {
 				if calls.Add(1); time.Now().Before(failsUntil) {
 					return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 				}
@@ -66,7 +66,7 @@
 
 // A connection that we can't open for want of something of our own says nothing of its endpoint; one that the endpoint or the way
 // to it refuses does. Neither was sent.
-func TestDialErrorsOfOurOwnBlameNoEndpoint(t *testing.T) {
+func TestLocalDialErrorsDoNotBlameTheEndpoint(t *testing.T) {
 	for errno, want := range map[syscall.Errno]logic.Outcome{
 		syscall.EMFILE: logic.NotSent, syscall.ENFILE: logic.NotSent, syscall.ENOBUFS: logic.NotSent, syscall.ENOMEM: logic.NotSent,
 		syscall.EADDRNOTAVAIL: logic.NotSent, syscall.EAGAIN: logic.NotSent,
@@ -103,19 +103,19 @@
 }
 
 // The console's listener goes on in the same way, and ends when it is closed.
-func TestTheConsoleAcceptsAfterSystemErrors(t *testing.T) {
+func TestConsoleAcceptContinuesAfterSystemErrors(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	counters := &Counters{}
-	desk := &console{front: &front{counters: counters}, log: zap.NewNop()}
-	l := &counter{&failingListener{ln, acceptErrors}, desk}
+	desk := &console{front: &clientServer{counters: counters}, log: zap.NewNop()}
+	l := &counter{&failingListener{ln, acceptErrnos}, desk}
 	conn, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer conn.Close()
 	accepted, err := l.Accept()
 	require.NoError(t, err)
 	accepted.Close()
-	assert.EqualValues(t, len(acceptErrors), counters.acceptErrors.Load())
+	assert.EqualValues(t, len(acceptErrnos), counters.acceptErrors.Load())
 	ln.Close()
 	_, err = l.Accept()
 	assert.ErrorIs(t, err, net.ErrClosed)
@@ -123,22 +123,22 @@
 
 // Found by the soak (seed 5012: idle clients fill the descriptors): a request that waits with its connection to be accepted is told
 // its endpoint with its whole time, half a second more than its client has left. When its bytes came the process does not look up.
-func TestDeadlineCountsTheWaitToBeAccepted(t *testing.T) {
-	const waits, slack = 400 * time.Millisecond, 150 * time.Millisecond
+func TestDeadlineIncludesTheWaitToBeAccepted(t *testing.T) {
+	const wait, slack = 400 * time.Millisecond, 150 * time.Millisecond
 	s := newStandIn(t, say(fine, true))
-	r := begin(t, known(s), nil)
-	assert.Eventually(t, func() bool { return r.loop.loaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
-	r.front.listener.Load().hold(true)
+	r := startSidecar(t, listOf(s), nil)
+	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
+	r.front.listener.Load().setPaused(true)
 	conn := r.dial()
 	defer conn.Close()
 	io.WriteString(conn, "GET /look/x HTTP/1.1\r\nHost: h\r\nRequest-Id: waits\r\nRequest-Class: look\r\nRequest-Timeout: 1000m\r\n\r\n")
-	time.Sleep(waits)
-	r.front.listener.Load().hold(false)
+	time.Sleep(wait)
+	r.front.listener.Load().setPaused(false)
 	select {
 	case got := <-s.seen:
-		told, err := time.ParseDuration(got.Header.Get("Request-Timeout") + "s") // m is ms
+		sentTimeout, err := time.ParseDuration(got.Header.Get("Request-Timeout") + "s") // m is ms
 		require.NoError(t, err)
-		assert.LessOrEqual(t, told, time.Second-waits+slack)
+		assert.LessOrEqual(t, sentTimeout, time.Second-wait+slack)
 	case <-time.After(5 * time.Second):
 		t.Error("nothing is sent on")
 	}
--- a/internal/sidecar/upgrade.go
+++ b/internal/sidecar/upgrade.go
@@ -184,7 +184,7 @@
 type pair struct {
 	dir    string
 	memory int64 // what all may have
-	front  *front
+	front  *clientServer
 	door   *net.TCPListener
 	log    *zap.Logger
 
@@ -221,7 +221,7 @@
 
 // settled tells whether what was inherited is confirmed by a watch of our own, or was waited for long enough.
 func (p *pair) settled() bool {
-	return !p.heir || p.front.loop.heard.Load() || time.Since(p.born) > heardWait
+	return !p.heir || p.front.loop.watchHeard.Load() || time.Since(p.born) > heardWait
 }
 
 // clear tells whether the old process has no transfer under way that its end would cut off, or was waited for long enough.
@@ -235,7 +235,7 @@
 // yield lets the new process take the clients, or takes them again. The socket stays ours too: the new one may die.
 func (p *pair) yield(to bool) {
 	if listener := p.front.listener.Load(); listener != nil {
-		listener.hold(to || p.waiting.Load())
+		listener.setPaused(to || p.waiting.Load())
 	}
 }
 
@@ -257,7 +257,7 @@
 // open takes clients from now on, whatever is known.
 func (p *pair) open() {
 	p.waiting.Store(false)
-	p.front.loop.postFirst(asked(func(l *loop) { l.module.TookOver(l.list.siblingFollows) }))
+	p.front.loop.postUrgent(asked(func(l *loop) { l.module.TookOver(l.list.siblingFollows) }))
 	p.yield(false)
 }
 
@@ -310,7 +310,7 @@
 		p.open()
 		p.share()
 	}
-	if younger && ctx.Err() == nil && p.front.until.Load() == nil {
+	if younger && ctx.Err() == nil && p.front.shutdownBy.Load() == nil {
 		p.offered(ctx) // it had taken the name by which a new process finds this one
 	}
 }
@@ -346,7 +346,7 @@
 			if err != nil {
 				p.log.Warn("what another process of this sidecar tells can't be read", zap.Error(err))
 			} else if whole {
-				p.front.loop.postFirst(siblingTold{news})
+				p.front.loop.postUrgent(siblingTold{news})
 				news = knowledge{}
 			}
 		}
@@ -398,10 +398,10 @@
 
 // status is what we say of this process and of the one on its other side.
 func (p *pair) status(a *fastjson.Arena, to *peer) *fastjson.Value {
-	clients, upstream := p.front.sockets.held()
+	clients, upstream := p.front.descriptors.connections()
 	elder, younger, held := p.peers()
 	held += clients + upstream - int(to.held.Load())
-	takes, serves, moving := p.front.takes(), p.front.serves(), p.front.transfers.Load()
+	takes, serves, moving := p.front.acceptsExchanges(), p.front.servesAlone(), p.front.transfers.Load()
 	if !to.younger && younger != nil {
 		takes, serves = takes || younger.takes.Load(), serves || younger.serves.Load()
 	}
@@ -423,7 +423,7 @@
 	var a fastjson.Arena
 	var parts []*fastjson.Value
 	var told uint64
-	if p.front.loop.changes.Load() != other.told {
+	if p.front.loop.changeCount.Load() != other.told {
 		if k, err := p.front.loop.knowledge(tellLast / 4); err == nil {
 			parts, told = k.parts(&a, partMostEntries), k.change
 		}
@@ -473,7 +473,7 @@
 	if p.limitedFor.Swap(processes) != processes {
 		debug.SetMemoryLimit(p.memory * memoryPart / processes)
 	}
-	p.front.sockets.shareWith(held)
+	p.front.descriptors.shareWith(held)
 }
 
 func (p *pair) alone() {
@@ -481,7 +481,7 @@
 	p.limitedFor.Store(1)
 	p.open()
 	debug.SetMemoryLimit(p.memory * memoryPart)
-	p.front.sockets.shareWith(-1)
+	p.front.descriptors.shareWith(-1)
 	p.log.Info("one process is this sidecar")
 }
 
@@ -551,7 +551,7 @@
 		}
 		return list
 	}
-	out, ever := p.front.loop.hands.All()
+	out, ever := p.front.loop.operatorDrains.All()
 	v.Set("out", texts(out))
 	v.Set("ever", texts(ever))
 	// A list that does not fit is told in parts, once the line is joined.
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -62,12 +62,12 @@
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40)) // longer than the kernel's names
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	s := newStandIn(t, say(fine, true))
-	r := begin(t, known(s), withConsole(dir))
+	r := startSidecar(t, listOf(s), withConsole(dir))
 	door, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	r.loop.hands.Listed("gone")
-	assert.Eventually(t, func() bool { return r.loop.loaded.Load() }, 5*time.Second, time.Millisecond)
-	require.NoError(t, r.loop.hands.Change(t.Context(), "s0", true))
+	r.loop.operatorDrains.Listed("gone")
+	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() }, 5*time.Second, time.Millisecond)
+	require.NoError(t, r.loop.operatorDrains.Change(t.Context(), "s0", true))
 	old := &pair{dir: dir, memory: 100 << 20 / 10, front: r.front, door: door.(*net.TCPListener), log: zap.NewNop()}
 	require.NoError(t, old.offer(t.Context()))
 	h, err := inherit(dir)
@@ -93,16 +93,16 @@
 	line, err := bufio.NewReader(h.line).ReadString('\n')
 	assert.NoError(t, err)
 	assert.Contains(t, line, `"serves":true`)
-	few := r.front.sockets
+	few := r.front.descriptors
 	usable := func() int {
 		few.mu.Lock()
 		defer few.mu.Unlock()
 		return few.usable
 	}
-	assert.Less(t, usable(), few.whole/2)
+	assert.Less(t, usable(), few.usableAlone/2)
 	h.line.Close()
 	assert.Eventually(t, func() bool { return !old.succeeds() && !old.together.Load() }, 5*time.Second, time.Millisecond)
-	assert.Equal(t, few.whole, usable(), "alone again")
+	assert.Equal(t, few.usableAlone, usable(), "alone again")
 }
 
 // Two processes hold no more together than one may.
@@ -110,50 +110,50 @@
 	for _, c := range []struct{ limit, mine, others int }{
 		{384, 0, 0}, {384, 20, 40}, {384, 300, 0}, {384, 0, 300}, {384, 100, 100}, {256, 150, 20}, {96, 20, 20},
 	} {
-		s := newSockets(c.limit-callersMost, &Counters{})
-		s.set, s.upstream = fixedSockets+callersMost, c.mine
-		s.dropIdle = func() bool { s.give(); return true }
+		s := newDescriptorLimiter(c.limit-callersMost, &Counters{})
+		s.reserved, s.upstreamConns = reservedDescriptors+callersMost, c.mine
+		s.closeIdleUpstream = func() bool { s.releaseUpstream(); return true }
 		s.shareWith(c.others)
-		assert.LessOrEqual(t, s.upstream, s.usable, "idle ones give way: %+v", c)
-		free := c.limit - 2*s.set - s.upstream - c.others
-		assert.LessOrEqual(t, s.usable-s.upstream, max(free/2, 2), "half of what is free: %+v", c)
+		assert.LessOrEqual(t, s.upstreamConns, s.usable, "idle ones give way: %+v", c)
+		free := c.limit - 2*s.reserved - s.upstreamConns - c.others
+		assert.LessOrEqual(t, s.usable-s.upstreamConns, max(free/2, 2), "half of what is free: %+v", c)
 		assert.GreaterOrEqual(t, s.usable, 2)
 		s.shareWith(-1)
-		assert.Equal(t, s.whole, s.usable)
+		assert.Equal(t, s.usableAlone, s.usable)
 	}
 }
 
 // A new process says yes once its own watch has told something, or has had its time.
 func TestSettled(t *testing.T) {
 	d := newStandIn(t, silent)
-	r := begin(t, known(newStandIn(t, say(fine, true))), func(s *Start) {
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), func(s *Start) {
 		withConsole("")(s)
 		s.Discovery = d.Addr().String()
 	})
 	<-d.seen // the first call is open
 	r.front.pair = &pair{front: r.front, heir: true, born: time.Now()}
-	assert.Eventually(t, func() bool { return r.loop.loaded.Load() && r.front.open.Load() }, 5*time.Second, time.Millisecond)
-	assert.False(t, r.front.serves())
+	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.accepting.Load() }, 5*time.Second, time.Millisecond)
+	assert.False(t, r.front.servesAlone())
 	r.front.pair.born = time.Now().Add(-heardWait)
-	assert.True(t, r.front.serves())
+	assert.True(t, r.front.servesAlone())
 	r.front.pair.born = time.Now()
 	r.loop.post(listing{inventory: inventory{version: 2}, watch: 1})
-	assert.Eventually(t, r.front.serves, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, r.front.servesAlone, 5*time.Second, time.Millisecond)
 }
 
 // A drain that the old process was told after it had handed over its list is not known to the new one, which sent requests there
 // until its own watch told it (seen by the soak: a drain during a hand-over, three faulty calls). It leaves the clients to the
 // old one until then, unless that hangs or is gone.
 func TestANewProcessTakesNoClientsBeforeItsOwnList(t *testing.T) {
-	for name, frees := range map[string]func(r *running, p *pair){
-		"its own list":           func(r *running, _ *pair) { r.loop.heard.Store(true) },
-		"the old one is gone":    func(_ *running, p *pair) { p.alone() },
-		"it has waited its time": func(_ *running, p *pair) { p.born = time.Now().Add(-heardWait) },
+	for name, frees := range map[string]func(r *testSidecar, p *pair){
+		"its own list":           func(r *testSidecar, _ *pair) { r.loop.watchHeard.Store(true) },
+		"the old one is gone":    func(_ *testSidecar, p *pair) { p.alone() },
+		"it has waited its time": func(_ *testSidecar, p *pair) { p.born = time.Now().Add(-heardWait) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := begin(t, known(newStandIn(t, say(fine, true))), withConsole(""))
+			r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(""))
 			assert.Eventually(t, func() bool { return r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
-			r.loop.heard.Store(false)
+			r.loop.watchHeard.Store(false)
 			p := &pair{front: r.front, memory: 10 << 20, log: zap.NewNop(), heir: true, born: time.Now()}
 			if name == "it has waited its time" {
 				frees(r, p)
@@ -161,12 +161,12 @@
 			p.openWhenSettled(t.Context())
 			if name != "it has waited its time" {
 				time.Sleep(3 * tellBeat)
-				assert.True(t, r.front.listener.Load().held(), "the old process takes the clients")
+				assert.True(t, r.front.listener.Load().isPaused(), "the old process takes the clients")
 				p.yield(false) // the old one says that it is there
-				assert.True(t, r.front.listener.Load().held())
+				assert.True(t, r.front.listener.Load().isPaused())
 				frees(r, p)
 			}
-			assert.Eventually(t, func() bool { return !r.front.listener.Load().held() }, 5*time.Second, time.Millisecond)
+			assert.Eventually(t, func() bool { return !r.front.listener.Load().isPaused() }, 5*time.Second, time.Millisecond)
 		})
 	}
 }
@@ -175,8 +175,8 @@
 // the old one has none left. Should the new one die meanwhile, the old one opens its door again.
 func TestTransfersAreDrainedBeforeTheYes(t *testing.T) {
 	dir := t.TempDir()
-	r := begin(t, known(newStandIn(t, say(fine, true))), withConsole(dir))
-	assert.Eventually(t, func() bool { return r.loop.loaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
+	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(dir))
+	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
 	listener := r.front.listener.Load()
 	old := &pair{dir: dir, memory: 10 << 20, front: r.front, door: listener.TCPListener, log: zap.NewNop()}
 	require.NoError(t, old.offer(t.Context()))
@@ -184,23 +184,23 @@
 	h, err := inherit(dir)
 	require.NoError(t, err)
 	defer h.door.Close()
-	next := begin(t, known(newStandIn(t, say(fine, true))), withConsole(""))
+	next := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(""))
 	p := &pair{dir: dir, memory: 10 << 20, front: next.front, log: zap.NewNop(), heir: true, born: time.Now()}
 	p.moving.Store(-1)
-	next.loop.heard.Store(true)
-	assert.Eventually(t, next.front.serves, 5*time.Second, time.Millisecond, "alone")
+	next.loop.watchHeard.Store(true)
+	assert.Eventually(t, next.front.servesAlone, 5*time.Second, time.Millisecond, "alone")
 	done := make(chan bool)
 	next.loop.post(probe(func(*loop) { close(done) }))
 	<-done
 	next.front.pair = p
 	go p.join(t.Context(), h.line, h.read, false)
-	assert.Eventually(t, listener.held, 5*time.Second, time.Millisecond, "the old one takes nobody any more")
+	assert.Eventually(t, listener.isPaused, 5*time.Second, time.Millisecond, "the old one takes nobody any more")
 	assert.Eventually(t, func() bool { return p.moving.Load() == 1 }, 5*time.Second, time.Millisecond)
-	assert.False(t, next.front.serves(), "not while the old one has a transfer")
+	assert.False(t, next.front.servesAlone(), "not while the old one has a transfer")
 	c := r.dial() // it waits in the queue that both have
-	c.Write([]byte(ask("1", "GET", "look", "")))
+	c.Write([]byte(requestText("1", "GET", "look", "")))
 	r.front.transfers.Add(-1)
-	assert.Eventually(t, next.front.serves, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, next.front.servesAlone, 5*time.Second, time.Millisecond)
 	assert.True(t, old.succeeds())
 	p.born = time.Now().Add(-clearWait)
 	p.moving.Store(7)
@@ -209,5 +209,5 @@
 	got, body := exchangeOn(c, "")
 	require.NotNil(t, got, body)
 	assert.Equal(t, 200, got.StatusCode, "the new one died: the old one takes who waits")
-	assert.False(t, listener.held())
+	assert.False(t, listener.isPaused())
 }
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -39,7 +39,7 @@
 	header http.Header
 	body   []byte
 	length int64 // of what flows; -1 if nobody has said
-	flow   *flow
+	flow   *bodyPipe
 }
 
 // leg is one request on its way to one endpoint.
@@ -104,7 +104,7 @@
 		return failed(writing, errCalledOff, true)
 	case g.moot.Load():
 		return failed(writing, errOver, true)
-	case g.of.deserted():
+	case g.of.abandonedByClient():
 		return failed(writing, errNobody, true)
 	case g.suspended != nil && g.suspended.Load():
 		return &legError{reach: writing, outcome: logic.NotSent, cause: errLease}
@@ -126,8 +126,8 @@
 	class  logic.ProductID // by its name, whatever may be done with it
 	head   []byte          // request line and headers, but for the time left and the empty line
 	body   []byte
-	probe  bool      // no exchange's
-	rest   *incoming // what comes behind body, of a long one
+	probe  bool             // no exchange's
+	rest   *streamedRequest // what comes behind body, of a long one
 }
 
 // endpoint is where one server listens, and what connections to it are idle.
@@ -186,7 +186,7 @@
 func (k *link) wait(g *leg) {
 	until, now := g.end(), time.Now()
 	if k.flowing.Load() {
-		until = now.Add(flowStall)
+		until = now.Add(streamStallTimeout)
 	} else if pause := now.Add(k.stall); !g.patient && pause.Before(until) {
 		until = pause
 	}
@@ -206,13 +206,13 @@
 	rest      time.Duration
 	retire    time.Duration
 	idleMost  atomic.Int64 // connections kept idle to one endpoint; 0 for any number
-	sockets   *sockets
+	sockets   *descriptorLimiter
 	counters  *Counters
 	dial      func(ctx context.Context, network, addr string) (net.Conn, error)
 	behind    func() bool // the process stood still just now, and may have news unread; nil for never
 }
 
-func newUpstream(connect, idleClose logic.Millis, s *sockets, c *Counters) *upstream {
+func newUpstream(connect, idleClose logic.Millis, s *descriptorLimiter, c *Counters) *upstream {
 	u := &upstream{
 		endpoints: map[logic.EndpointID]*endpoint{}, out: map[logic.EndpointID]bool{}, dialTime: span(connect), retire: span(idleClose * retireShare),
 		stall: stallTime, sockets: s, counters: c, dial: (&net.Dialer{KeepAlive: -1}).DialContext,
@@ -221,7 +221,7 @@
 		u.stall = u.dialTime
 	}
 	u.rest = time.Duration(float64(u.stall) * restShare)
-	s.dropIdle = u.dropIdle
+	s.closeIdleUpstream = u.dropIdle
 	return u
 }
 
@@ -295,7 +295,7 @@
 // share sets how many idle connections one endpoint gets. An endpoint holds only so many, and a whole fleet that each
 // kept what a burst had opened would fill its table: our own descriptors over the endpoints named are our part.
 func (u *upstream) share(endpoints int) {
-	u.idleMost.Store(max(int64(u.sockets.whole/max(endpoints, 1)), 1))
+	u.idleMost.Store(max(int64(u.sockets.usableAlone/max(endpoints, 1)), 1))
 }
 
 func (u *upstream) find(id logic.EndpointID) *endpoint {
@@ -307,7 +307,7 @@
 func (u *upstream) close(links ...*link) {
 	for _, k := range links {
 		k.conn.Close()
-		u.sockets.give()
+		u.sockets.releaseUpstream()
 	}
 }
 
@@ -412,13 +412,13 @@
 	if g.quit.Store(&done); g.moot.Load() {
 		done()
 	}
-	if !u.sockets.awaitUpstream(ctx) {
+	if !u.sockets.waitForUpstream(ctx) {
 		return nil, failed(notDialled, errDescriptors, g.ctx.Err() != nil || g.moot.Load())
 	}
 	u.counters.dialled.Add(1)
 	conn, err := u.dial(ctx, "tcp", g.addr)
 	if err != nil {
-		u.sockets.give()
+		u.sockets.releaseUpstream()
 		return nil, failed(dialling, err, g.ctx.Err() != nil || g.moot.Load())
 	}
 	k := &link{conn: conn, addr: g.addr, stall: u.stall, counters: u.counters}
@@ -430,7 +430,7 @@
 // timeLeft is the deadline that an endpoint is told, in milliseconds.
 func timeLeft(g *leg) float64 {
 	left := max(float64(time.Until(g.giveUp))/float64(time.Millisecond), 0)
-	if seeded == "deadline" {
+	if injectedFault == "deadline" {
 		left += 1000
 	}
 	return left
@@ -453,7 +453,7 @@
 	// A drain may have been told while the process stood still: whoever reads it comes first. Where standstills follow upon
 	// each other, as on a small share of a core, that has had its turn after some waits, and no leg would ever begin.
 	for n := 0; n < behindWaits && u.behind != nil && u.behind() && g.ctx.Err() == nil && time.Now().Before(g.giveUp); n++ {
-		time.Sleep(paceBeat / 4)
+		time.Sleep(stallTickInterval / 4)
 	}
 	if fault := g.mayBegin(k); fault != nil {
 		reusable = stop() // keep looks whether its endpoint still takes it
@@ -465,18 +465,18 @@
 	text := net.Buffers{g.request.head, append(left, "m\r\n\r\n"...), g.request.body}
 	if g.request.rest != nil {
 		var keepOpen bool
-		r, keepOpen, fault = u.runLong(k, g, text[:2])
+		r, keepOpen, fault = u.runStreamed(k, g, text[:2])
 		reusable = stop() && keepOpen
 		return r, fault
 	}
-	if seeded == "twice" {
+	if injectedFault == "twice" {
 		if again, err := u.dial(g.ctx, "tcp", g.addr); err == nil {
 			copied := slices.Clone(text)
 			copied.WriteTo(again)
 			time.AfterFunc(u.rest, func() { again.Close() })
 		}
 	}
-	if n := len(g.request.body); n > partMost {
+	if n := len(g.request.body); n > copyChunkBytes {
 		// Whoever answers before the last byte has read no request of ours: it is kept back until that is sure.
 		text = net.Buffers{text[0], text[1], g.request.body[:n-1]}
 		if _, err := text.WriteTo(k.conn); err != nil {
@@ -518,7 +518,7 @@
 			return errSpoilt
 		}
 		if end := headEnd(seen); end > 0 {
-			_, _, err := framing(seen[:end])
+			_, _, err := parseFraming(seen[:end])
 			return err
 		}
 		if err == bufio.ErrBufferFull {
@@ -536,7 +536,7 @@
 	broken := func(err error) *legError {
 		var net net.Error
 		switch {
-		case err == errDropped:
+		case err == errReaderGone:
 			return failed(written, err, true)
 		case k.most.N <= 0:
 			return odd(errTooLong)
@@ -552,7 +552,7 @@
 		k.leg = nil
 		k.flowing.Store(false)
 	}()
-	k.most.N = headMost + longMost
+	k.most.N = headMost + maxStreamedBytes
 	var got *http.Response
 	for informed := 0; got == nil || got.StatusCode < 200; informed++ {
 		if informed > informMost {
@@ -572,7 +572,7 @@
 	switch {
 	case got.StatusCode != http.StatusOK || !long:
 		body, err = readBody(got)
-	case got.ContentLength > longMost:
+	case got.ContentLength > maxStreamedBytes:
 		err = errTooLong
 	default:
 		if len(got.TransferEncoding) == 0 {
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -83,12 +83,12 @@
 }
 
 func testUpstream(t *testing.T, limit int) *upstream {
-	u := newUpstream(200, 10000, newSockets(limit, &Counters{}), &Counters{})
+	u := newUpstream(200, 10000, newDescriptorLimiter(limit, &Counters{}), &Counters{})
 	u.rest = 0
 	t.Cleanup(func() {
 		for u.dropIdle() {
 		}
-		_, held := u.sockets.held()
+		_, held := u.sockets.connections()
 		assert.Zero(t, held, "every connection is given back")
 	})
 	return u
@@ -100,7 +100,7 @@
 		method: "POST", head: []byte("POST /p HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\nContent-Length: 2\r\n"), body: []byte("ab"),
 	}}
 	g.ctx, g.cancel = context.WithCancel(context.Background())
-	g.began = func(r *reply) { r.flow.drop() }
+	g.began = func(r *reply) { r.flow.discard() }
 	return g
 }
 
@@ -148,7 +148,7 @@
 		{"chunk longer than it says", say(head+"200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhello\r\n0\r\n\r\n", true), logic.Errored, false},
 		{"trailers without end", say(head+"200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n"+strings.Repeat("A: b\r\n", 1<<14), true), logic.Errored, false},
 		{"junk", say("SSH-2.0-x\r\n\r\n", true), logic.Errored, false},
-		{"too long", say(fmt.Sprintf("%s200 OK\r\nContent-Length: %d\r\n\r\n", head, longMost+1), true), logic.Errored, false},
+		{"too long", say(fmt.Sprintf("%s200 OK\r\nContent-Length: %d\r\n\r\n", head, maxStreamedBytes+1), true), logic.Errored, false},
 		{"head without end", say(head+"200 OK\r\n"+strings.Repeat("A: bcdefgh\r\n", 20000), true), logic.Errored, false},
 		{"head that does not go on", say(head+"200 OK\r\nA: b", true), logic.Errored, false},
 		{"body that does not go on", say(head+"200 OK\r\nContent-Length: 50\r\n\r\nhello", true), logic.Errored, false},
@@ -229,10 +229,10 @@
 				return nil, ctx.Err()
 			}
 		}, logic.NoConnection},
-		{"no descriptor left", 2 * fixedSockets, func(u *upstream, g *leg) {
-			for u.sockets.takeUpstream() {
+		{"no descriptor left", 2 * reservedDescriptors, func(u *upstream, g *leg) {
+			for u.sockets.acquireUpstream() {
 			}
-			t.Cleanup(func() { u.sockets.upstream = 0 })
+			t.Cleanup(func() { u.sockets.upstreamConns = 0 })
 		}, logic.NotSent}, // it says nothing of the endpoint
 		{"drains while it dials", 100, func(u *upstream, g *leg) {
 			plain := u.dial
@@ -268,7 +268,7 @@
 		{"its exchange ended before it dialled", 100, func(u *upstream, g *leg) { g.void() }, logic.Cancelled},
 		{"its client leaves while it dials", 100, func(u *upstream, g *leg) {
 			g.of = &exchange{}
-			held(u, func() { g.of.left.Store(true) })
+			held(u, func() { g.of.clientGone.Store(true) })
 		}, logic.Cancelled},
 		{"called off while it dials", 100, func(u *upstream, g *leg) {
 			u.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -353,12 +353,12 @@
 		{"given up for another descriptor", func(u *upstream, _ *standIn, _ string) {
 			taken := 0
 			for ; len(u.find("s").idle) > 0; taken++ {
-				u.sockets.takeUpstream()
+				u.sockets.acquireUpstream()
 			}
-			u.sockets.upstream -= taken
+			u.sockets.upstreamConns -= taken
 		}, 2},
 	} {
-		u, s := testUpstream(t, 2*fixedSockets), newStandIn(t, say(fine, true))
+		u, s := testUpstream(t, 2*reservedDescriptors), newStandIn(t, say(fine, true))
 		addr := s.Addr().String()
 		_, fault := u.run(testLeg(u, addr, 5*time.Second))
 		assert.Nil(t, fault, c.name)
@@ -397,7 +397,7 @@
 		for range 5 {
 			assert.Nil(t, <-over)
 		}
-		_, held := u.sockets.held()
+		_, held := u.sockets.connections()
 		assert.Equal(t, c.kept, held, "%+v", c)
 		assert.Len(t, u.find("s").idle, c.kept)
 	}
