--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -34,20 +34,20 @@
 // An answer that is passed on is bounded by its pace alone, neither by the leg's time nor by the pause of a short one.
 func TestStreamedAnswerOutlivesTheLegTimeout(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
-	long := strings.Repeat("x", bodyMost)
+	long := strings.Repeat("x", maxBufferedBodyBytes)
 	for name, parts := range map[string][]string{
-		"length said":         {fmt.Sprintf("%sContent-Length: %d\r\n\r\n12345", head, bodyMost+5), long},
-		"chunks":              {head + "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n", fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", bodyMost, long)},
-		"one chunk in pieces": {fmt.Sprintf("%sTransfer-Encoding: chunked\r\n\r\n%x;a=b\r\n12345", head, bodyMost+5), long + "\r\n0\r\nT: u\r\n\r\n"},
+		"length said":         {fmt.Sprintf("%sContent-Length: %d\r\n\r\n12345", head, maxBufferedBodyBytes+5), long},
+		"chunks":              {head + "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n", fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", maxBufferedBodyBytes, long)},
+		"one chunk in pieces": {fmt.Sprintf("%sTransfer-Encoding: chunked\r\n\r\n%x;a=b\r\n12345", head, maxBufferedBodyBytes+5), long + "\r\n0\r\nT: u\r\n\r\n"},
 		"ends with its close": {head + "\r\n12345", long},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			u, s := testUpstream(t, 100), newStandIn(t, writeSlowly(600*time.Millisecond, parts...))
-			g := testLeg(u, s.Addr().String(), 300*time.Millisecond)
-			g.beginBy = time.Now().Add(100 * time.Millisecond)
+			u, s := newTestUpstream(t, 100), newStubEndpoint(t, writeSlowly(600*time.Millisecond, parts...))
+			g := newTestLeg(u, s.Addr().String(), 300*time.Millisecond)
+			g.forwardFrom = time.Now().Add(100 * time.Millisecond)
 			got := make(chan []byte, 1)
-			g.began = func(r *reply) {
+			g.onAnswerStart = func(r *reply) {
 				go func() {
 					var all, part []byte
 					for {
@@ -72,14 +72,14 @@
 
 // A long answer that breaks off is never taken for whole, and counts as failed; what came before the break was passed on.
 func TestBrokenStreamIsNotTakenForComplete(t *testing.T) {
-	long := longBody(4 * bodyMost)
+	long := longBody(4 * maxBufferedBodyBytes)
 	for name, head := range map[string]string{
 		"length said": fmt.Sprintf("Content-Length: %d\r\n\r\n", 2*len(long)),
 		"chunks":      fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(long)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStandIn(t, say("HTTP/1.1 200 OK\r\n"+head+long, false))
+			s := newStubEndpoint(t, respondWith("HTTP/1.1 200 OK\r\n"+head+long, false))
 			r := startSidecar(t, listOf(s, s, s), withConsole(""))
 			c := r.dial()
 			c.Write([]byte(requestText("1", "GET", "look", "")))
@@ -89,9 +89,9 @@
 			assert.Error(t, err, "the client can tell")
 			assert.True(t, strings.HasPrefix(long, string(body[:len(long)/2])))
 			assert.EqualValues(t, 1, s.requests.Load(), "never patched up by another")
-			f := &r.front.counters.classes[0]
-			assert.Eventually(t, func() bool { return f.forfeited.Load() == 1 && r.front.activeRequests.Load() == 0 }, 5*time.Second, time.Millisecond)
-			assert.Zero(t, f.satisfied.Load()+r.front.counters.panics.Load())
+			f := &r.front.counters.products[0]
+			assert.Eventually(t, func() bool { return f.failed.Load() == 1 && r.front.activeRequests.Load() == 0 }, 5*time.Second, time.Millisecond)
+			assert.Zero(t, f.succeeded.Load()+r.front.counters.panics.Load())
 			assert.Equal(t, 200, r.status(requestText("2", "GET", "look/none", "")), "the endpoint's next answer begins as well")
 		})
 	}
@@ -100,7 +100,7 @@
 // A client that goes away in the middle of a long answer: its leg is called off and nothing stays behind.
 func TestClientLeavesDuringAStreamedAnswer(t *testing.T) {
 	ended := make(chan bool)
-	s := newStandIn(t, func(c net.Conn, q *http.Request) bool {
+	s := newStubEndpoint(t, func(c net.Conn, q *http.Request) bool {
 		c.Write([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxStreamedBytes)))
 		for err := error(nil); err == nil; {
 			_, err = c.Write(make([]byte, 1<<16))
@@ -116,7 +116,7 @@
 	c.Close()
 	<-ended
 	assert.Eventually(t, func() bool { return r.front.activeHandlers.Load()+r.front.bodyBytes.Load() == 0 }, 5*time.Second, time.Millisecond)
-	assert.Eventually(t, func() bool { return r.front.counters.legs[logic.Cancelled].Load() == 1 }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return r.front.counters.legsByOutcome[logic.Cancelled].Load() == 1 }, 5*time.Second, time.Millisecond)
 }
 
 // upload sends a request with a long body, in chunks or with its length said, in so many parts.
@@ -146,12 +146,12 @@
 	for _, c := range []struct {
 		size    int
 		chunked bool
-	}{{1 << 10, true}, {bodyMost, false}, {bodyMost + 16, true}, {bodyMost + 16, false}, {1 << 20, true}, {3 << 20, false}, {3 << 20, true}} {
+	}{{1 << 10, true}, {maxBufferedBodyBytes, false}, {maxBufferedBodyBytes + 16, true}, {maxBufferedBodyBytes + 16, false}, {1 << 20, true}, {3 << 20, false}, {3 << 20, true}} {
 		t.Run(fmt.Sprint(c.size, c.chunked), func(t *testing.T) {
 			t.Parallel()
-			s := newStandIn(t, func(conn net.Conn, q *http.Request) bool {
+			s := newStubEndpoint(t, func(conn net.Conn, q *http.Request) bool {
 				body := q.Header.Get("Test-Body")
-				return say(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true)(conn, q)
+				return respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true)(conn, q)
 			})
 			r, body := startSidecar(t, listOf(s), nil), longBody(c.size)
 			got, back := sendLongRequest(r.dial(), "1", body, c.chunked, 7)
@@ -167,7 +167,7 @@
 // What became of a long request that is not whole: it never ran, no endpoint takes it for whole, and it is told at once.
 func TestIncompleteLongRequestsFailAtOnce(t *testing.T) {
 	t.Run("the client breaks it off", func(t *testing.T) {
-		s := newStandIn(t, say(fine, true))
+		s := newStubEndpoint(t, respondWith(okResponse, true))
 		r := startSidecar(t, listOf(s), nil)
 		c := r.dial()
 		c.Write([]byte(requestText("1", "POST", "buy", fmt.Sprintf("Content-Length: %d\r\n", 4<<20)) + longBody(1<<20)))
@@ -177,7 +177,7 @@
 		assert.Equal(t, 400, got.StatusCode)
 		assert.Eventually(t, func() bool { return r.loop.unanswered.Load() == 0 && r.front.activeHandlers.Load() == 0 }, 5*time.Second, time.Millisecond)
 		assert.Zero(t, s.requests.Load())
-		assert.Zero(t, r.front.counters.classes[1].legs.Load())
+		assert.Zero(t, r.front.counters.products[1].legs.Load())
 	})
 	t.Run("the endpoint turns it away in the middle", func(t *testing.T) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -210,7 +210,7 @@
 		assert.Equal(t, 503, got.StatusCode)
 	})
 	t.Run("a client that is too slow", func(t *testing.T) {
-		r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), nil)
+		r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), nil)
 		c, began := r.dial(), time.Now()
 		c.Write([]byte(requestText("1", "POST", "buy", fmt.Sprintf("Content-Length: %d\r\n", 4<<20)) + "x"))
 		got, body := exchangeOn(c, "")
@@ -222,9 +222,9 @@
 
 // A client may take longer than its own time-out to send: its time counts from the last byte.
 func TestClientTimeoutCountsFromTheLastByte(t *testing.T) {
-	s := newStandIn(t, say(fine, true))
+	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s), nil)
-	for n, size := range []int{10, bodyMost * 8} {
+	for n, size := range []int{10, maxBufferedBodyBytes * 8} {
 		c, body := r.dial(), longBody(size*16/10)
 		c.Write([]byte(strings.Replace(requestText(fmt.Sprint(n), "POST", "buy", fmt.Sprintf("Content-Length: %d\r\n", len(body))), "900m", "300m", 1)))
 		time.Sleep(600 * time.Millisecond)
@@ -237,7 +237,7 @@
 // Many long answers at once to clients who don't read: what is held stays within its bound.
 func TestMemoryOfManyStreamsIsBounded(t *testing.T) {
 	part := make([]byte, 1<<16)
-	s := newStandIn(t, func(c net.Conn, _ *http.Request) bool {
+	s := newStubEndpoint(t, func(c net.Conn, _ *http.Request) bool {
 		c.Write([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 32<<20)))
 		for err := error(nil); err == nil; {
 			_, err = c.Write(part)
@@ -252,7 +252,7 @@
 	for n := range many {
 		r.dial().Write([]byte(requestText(fmt.Sprint(n), "GET", "look", "")))
 	}
-	assert.Eventually(t, func() bool { return r.front.counters.streams.Load()+r.front.counters.dismissed.Load() >= many }, 10*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return r.front.counters.streams.Load()+r.front.counters.shed.Load() >= many }, 10*time.Second, time.Millisecond)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	t.Log(int64(after.HeapAlloc)-int64(before.HeapAlloc), "bytes for", many)
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -73,15 +73,15 @@
 		syscall.ECONNREFUSED: logic.NoConnection, syscall.ECONNRESET: logic.NoConnection, syscall.ECONNABORTED: logic.NoConnection,
 		syscall.ETIMEDOUT: logic.NoConnection, syscall.EHOSTUNREACH: logic.NoConnection, syscall.ENETUNREACH: logic.NoConnection,
 	} {
-		u := testUpstream(t, 100)
+		u := newTestUpstream(t, 100)
 		u.dial = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 		}
-		g := &leg{to: &endpoint{}, addr: "127.0.0.1:1", giveUp: time.Now().Add(time.Second), ctx: t.Context(), request: &request{}}
+		g := &leg{endpoint: &endpoint{}, addr: "127.0.0.1:1", deadline: time.Now().Add(time.Second), ctx: t.Context(), request: &request{}}
 		_, fault := u.run(g)
 		if assert.NotNil(t, fault, "%v", errno) {
 			assert.Equal(t, want, fault.outcome, "%v", errno)
-			assert.LessOrEqual(t, fault.reach, writing)
+			assert.LessOrEqual(t, fault.stage, writing)
 			assert.ErrorIs(t, fault, errno)
 		}
 	}
@@ -125,7 +125,7 @@
 // its endpoint with its whole time, half a second more than its client has left. When its bytes came the process does not look up.
 func TestDeadlineIncludesTheWaitToBeAccepted(t *testing.T) {
 	const wait, slack = 400 * time.Millisecond, 150 * time.Millisecond
-	s := newStandIn(t, say(fine, true))
+	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s), nil)
 	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
 	r.front.listener.Load().setPaused(true)
@@ -135,7 +135,7 @@
 	time.Sleep(wait)
 	r.front.listener.Load().setPaused(false)
 	select {
-	case got := <-s.seen:
+	case got := <-s.received:
 		sentTimeout, err := time.ParseDuration(got.Header.Get("Request-Timeout") + "s") // m is ms
 		require.NoError(t, err)
 		assert.LessOrEqual(t, sentTimeout, time.Second-wait+slack)
--- a/internal/sidecar/upgrade.go
+++ b/internal/sidecar/upgrade.go
@@ -30,7 +30,7 @@
 	tellBeat    = 50 * time.Millisecond
 	tellLast    = 20 * tellBeat // of silence, after which the other is taken for hung
 	tellRest    = 4             // times what telling took, before the next: long lists that change all the time must not take a core
-	lineMost    = listMost + hands.Most
+	lineMost    = maxListBytes + hands.Most
 	clearWait   = 5400 * time.Millisecond // for the old process's transfers, before the yes that is due within 6 s
 	heardWait   = 5 * time.Second         // for the new process's own watch to tell something, before the same yes
 	namePath    = 100                     // bytes that a Unix socket's name may have
@@ -44,7 +44,7 @@
 // heritage is what an old process hands over.
 type heritage struct {
 	door  *net.TCPListener
-	known *inventory
+	known *endpointList
 	told  *knowledge // beside known, with what it was told of those that are gone
 	out   []string
 	ever  []string
@@ -114,7 +114,7 @@
 		return err
 	}
 	if list := v.Get("list"); list != nil {
-		known, err := decode(list)
+		known, err := decodeList(list)
 		if err != nil {
 			return err
 		}
@@ -257,7 +257,7 @@
 // open takes clients from now on, whatever is known.
 func (p *pair) open() {
 	p.waiting.Store(false)
-	p.front.loop.postUrgent(asked(func(l *loop) { l.module.TookOver(l.list.siblingFollows) }))
+	p.front.loop.postUrgent(asked(func(l *loop) { l.module.TookOver(l.list.siblingWatches) }))
 	p.yield(false)
 }
 
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -61,7 +61,7 @@
 func TestHeritage(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40)) // longer than the kernel's names
 	require.NoError(t, os.Mkdir(dir, 0o700))
-	s := newStandIn(t, say(fine, true))
+	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s), withConsole(dir))
 	door, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -75,7 +75,7 @@
 	assert.Equal(t, []string{"s0"}, h.out)
 	assert.ElementsMatch(t, []string{"gone", "s0"}, h.ever)
 	require.NotNil(t, h.known)
-	assert.Equal(t, inventory{version: 1, full: true, servers: []entry{
+	assert.Equal(t, endpointList{version: 1, full: true, servers: []listEntry{
 		{id: "s0", addr: s.Addr().String(), zone: "a", cell: 1, running: true, weight: 1}}}, *h.known)
 	// One queue: whoever is connected while the old one closes is taken by the new one.
 	c, err := net.Dial("tcp", door.Addr().String())
@@ -125,19 +125,19 @@
 
 // A new process says yes once its own watch has told something, or has had its time.
 func TestSettled(t *testing.T) {
-	d := newStandIn(t, silent)
-	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), func(s *Start) {
+	d := newStubEndpoint(t, neverAnswer)
+	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), func(s *Start) {
 		withConsole("")(s)
 		s.Discovery = d.Addr().String()
 	})
-	<-d.seen // the first call is open
+	<-d.received // the first call is open
 	r.front.pair = &pair{front: r.front, heir: true, born: time.Now()}
 	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.accepting.Load() }, 5*time.Second, time.Millisecond)
 	assert.False(t, r.front.servesAlone())
 	r.front.pair.born = time.Now().Add(-heardWait)
 	assert.True(t, r.front.servesAlone())
 	r.front.pair.born = time.Now()
-	r.loop.post(listing{inventory: inventory{version: 2}, watch: 1})
+	r.loop.post(listReceived{endpointList: endpointList{version: 2}, call: 1})
 	assert.Eventually(t, r.front.servesAlone, 5*time.Second, time.Millisecond)
 }
 
@@ -151,7 +151,7 @@
 		"it has waited its time": func(_ *testSidecar, p *pair) { p.born = time.Now().Add(-heardWait) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(""))
+			r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
 			assert.Eventually(t, func() bool { return r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
 			r.loop.watchHeard.Store(false)
 			p := &pair{front: r.front, memory: 10 << 20, log: zap.NewNop(), heir: true, born: time.Now()}
@@ -175,7 +175,7 @@
 // the old one has none left. Should the new one die meanwhile, the old one opens its door again.
 func TestTransfersAreDrainedBeforeTheYes(t *testing.T) {
 	dir := t.TempDir()
-	r := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(dir))
+	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(dir))
 	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
 	listener := r.front.listener.Load()
 	old := &pair{dir: dir, memory: 10 << 20, front: r.front, door: listener.TCPListener, log: zap.NewNop()}
@@ -184,13 +184,13 @@
 	h, err := inherit(dir)
 	require.NoError(t, err)
 	defer h.door.Close()
-	next := startSidecar(t, listOf(newStandIn(t, say(fine, true))), withConsole(""))
+	next := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
 	p := &pair{dir: dir, memory: 10 << 20, front: next.front, log: zap.NewNop(), heir: true, born: time.Now()}
 	p.moving.Store(-1)
 	next.loop.watchHeard.Store(true)
 	assert.Eventually(t, next.front.servesAlone, 5*time.Second, time.Millisecond, "alone")
 	done := make(chan bool)
-	next.loop.post(probe(func(*loop) { close(done) }))
+	next.loop.post(loopFunc(func(*loop) { close(done) }))
 	<-done
 	next.front.pair = p
 	go p.join(t.Context(), h.line, h.read, false)
