--- a/logic/logic.go
+++ b/logic/logic.go
@@ -276,8 +276,8 @@
 	if !b.warmKeys || x.key == 0 {
 		return b.random()
 	}
-	_, part := math.Modf(hashDraw(x.key, 0) + float64(b.now/(b.longestExpected*sheddingDrawSpans)))
-	return part
+	_, draw := math.Modf(hashDraw(x.key, 0) + float64(b.now/(b.longestExpected*sheddingDrawSpans)))
+	return draw
 }
 
 // overload is the part to shed. Rooms of whole legs hold a small fleet back without it. Dismissing saves no
--- a/logic/message.go
+++ b/logic/message.go
@@ -11,9 +11,9 @@
 const workSteps = 4.0 // steps in which it tells of a mean leg's work
 
 func newPeerMessage(e *endpoint, x *exchange, l *leg, o Outcome, took, relativeWork float64) peerMessage {
-	time := uint16(math.Min(took+0.5, math.MaxUint16))
+	latency := uint16(math.Min(took+0.5, math.MaxUint16))
 	return peerMessage{byte(e.wireID >> 8), byte(e.wireID), e.sequence, encodeWork(e.ownWork), byte(o), byte(x.product.index), encodeWork(l.workAhead),
-		byte(time >> 8), byte(time), encodeWork(relativeWork), byte(x.tenant + 1)}
+		byte(latency >> 8), byte(latency), encodeWork(relativeWork), byte(x.tenant + 1)}
 }
 
 func encodeWork(work float64) byte { return byte(math.Min(work*workSteps+0.5, math.MaxUint8)) }
@@ -45,8 +45,8 @@
 }
 
 // mix is splitmix64's last step: the same at every sidecar.
-func mixHash(mark uint16, n int) uint64 {
-	h := scramble((uint64(mark)<<20 + uint64(n) + 1) * 0x9e3779b97f4a7c15)
+func mixHash(wireID uint16, n int) uint64 {
+	h := scramble((uint64(wireID)<<20 + uint64(n) + 1) * 0x9e3779b97f4a7c15)
 	return h ^ h>>31
 }
 
--- a/logic/slab.go
+++ b/logic/slab.go
@@ -73,8 +73,8 @@
 	b.freeSlots = append(b.freeSlots, x)
 }
 
-func (b *Balancer) setExchangeTimer(x *exchange, after Millis, w eventKind) {
-	b.SetTimer(after, TimerID(x.slot)<<40|TimerID(x.generation)<<8|TimerID(w)<<4|2)
+func (b *Balancer) setExchangeTimer(x *exchange, after Millis, kind eventKind) {
+	b.SetTimer(after, TimerID(x.slot)<<40|TimerID(x.generation)<<8|TimerID(kind)<<4|2)
 }
 
 // chance is a multiply-with-carry generator's next number, from 0 to 1 exclusive.
@@ -139,6 +139,6 @@
 func KeyOf(text []byte) KeyID { return KeyID(max(xxhash.Sum64(text), 1)) }
 
 // chanceOf is a number from 0 to 1 exclusive, the same at every sidecar.
-func hashDraw(k, name KeyID) float64 {
-	return (float64(uint32(scramble(uint64(k)^uint64(name))>>32)) + 0.5) / (1 << 32)
+func hashDraw(key, salt KeyID) float64 {
+	return (float64(uint32(scramble(uint64(key)^uint64(salt))>>32)) + 0.5) / (1 << 32)
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -210,8 +210,8 @@
 
 // draws is a draw from the posterior of a chance of success.
 func (b *Balancer) drawSuccessRate(r outcomeCounts) float64 {
-	good, bad := b.drawGamma(1+int(math.Min(r.successes, 8))), b.drawGamma(1+int(math.Min(r.failures+0.5, 8)))
-	return good / (good + bad)
+	success, failure := b.drawGamma(1+int(math.Min(r.successes, 8))), b.drawGamma(1+int(math.Min(r.failures+0.5, 8)))
+	return success / (success + failure)
 }
 
 func sum(values []float64) (total float64) {
@@ -243,7 +243,7 @@
 		n := &b.outcomesByKey[k]
 		n.successes, n.failures = n.successes*keyDecay, n.failures*keyDecay
 	}
-	for part := int(float64(b.now)/(hedgeWindowMs/hedgeWindowSlots)) % hedgeWindowSlots; b.hedgeSlot != part; {
+	for slot := int(float64(b.now)/(hedgeWindowMs/hedgeWindowSlots)) % hedgeWindowSlots; b.hedgeSlot != slot; {
 		b.hedgeSlot = (b.hedgeSlot + 1) % hedgeWindowSlots
 		b.hedgeWindow[b.hedgeSlot].hedges, b.hedgeWindow[b.hedgeSlot].ended = 0, 0
 	}
@@ -391,11 +391,11 @@
 func fractionalPart(f float64) float64 { return f - math.Floor(f) }
 
 // placeOf is where the own part of a sidecar begins, by its number; where none is told anywhere, but not where all are.
-func (b *Balancer) subsetStartOf(me PeerID) float64 {
-	if me < 0 {
+func (b *Balancer) subsetStartOf(number PeerID) float64 {
+	if number < 0 {
 		return b.random()
 	}
-	return fractionalPart(float64(me) * goldenRatio)
+	return fractionalPart(float64(number) * goldenRatio)
 }
 
 // settleIn says how far each endpoint is from our own place on a ring in the order of their hashes, one for each zone where
--- a/logic/types.go
+++ b/logic/types.go
@@ -127,10 +127,10 @@
 
 // Outgoing is what the module asks of its surroundings. Calls take effect in order, at once.
 type Outgoing interface {
-	Send(x ExchangeID, to EndpointID, giveUpAfter Millis)
+	Send(x ExchangeID, to EndpointID, timeout Millis)
 	Cancel(x ExchangeID, leg LegNo)
-	Shed(x ExchangeID, why Reason, comeBackAfter Millis)
-	Fail(x ExchangeID, why Reason)
+	Shed(x ExchangeID, reason Reason, retryAfter Millis)
+	Fail(x ExchangeID, reason Reason)
 	SetTimer(after Millis, t TimerID)
 	NotifyPeer(to PeerID, text []byte) // may be lost; text is the caller's again afterwards
 	Watch()
