--- a/logic/state.go
+++ b/logic/state.go
@@ -6,139 +6,221 @@
 	"slices"
 )
 
-// What an instance keeps, how that is booked and how chance is drawn. Nothing is decided here.
+// The state of an instance, how events are recorded in it, and random draws. Selection and admission are in logic.go.
+// The unit of work is the work of a mean leg; where no hints are given every leg counts as one.
 
+// endpoint is one server of the list and what is known of it.
 type endpoint struct {
-	id                           EndpointID
-	zone                         ZoneID
-	cell                         CellID
-	kind                         KindID
-	allowed                      []bool        // by product's place: it may be sent here at all
-	wireID                       uint16        // its name in messages
-	hash                         KeyID         // its hash
-	sequence                     byte          // of our last message
-	peers                        []sharingPeer // with whom a pool shares it
-	home                         bool          // it is of our own part
-	relativeSpeed                float64       // its pace beside all's, shrunk by what was not seen: over 1 is faster
-	ringDistance                 float64       // how far from our own place on the ring of its zone, from 0 to 1
-	size, ownWork, peerWork      float64       // as listed; legs of mean work: ours, and what others told of
-	readyAt, suspectChangedAt    Millis        // changed: last change of doubt
-	up, listed, running          bool          // up: by the list's word; running: and not out by hand
-	suspectNoted, awaitsFirstLeg bool          // staff know that it is doubtful; back by hand, no leg since
-	legs                         int
-	probing                      bool    // it was asked for its load,
-	reportedAt                   Millis  // told it last then,
-	reportedLoad                 float64 // so many exchanges held, by everyone
+	id               EndpointID
+	zone             ZoneID
+	cell             CellID
+	kind             KindID
+	allowed          []bool        // by product.index: the product may be sent to this zone and kind of machine
+	wireID           uint16        // names it in messages between sidecars
+	hash             KeyID         // of its id, the same at every sidecar
+	sequence         byte          // number of our last message about it
+	peers            []sharingPeer // sidecars of the pool that share it
+	home             bool          // in the home subset
+	relativeSpeed    float64       // over the mean of the known-good ones, above 1 is faster; 1 unless it is known-good
+	ringDistance     float64       // from the subset's start on the ring of its zone, 0 to 1
+	size             float64       // capacity relative to other endpoints, as listed
+	ownWork          float64       // of our legs in flight
+	peerWork         float64       // of the legs that peers have in flight, by their messages
+	readyAt          Millis        // start of the process, or of the time since an operator's drain; 0 if not known
+	suspectChangedAt Millis        // when suspect changed last
+	up               bool          // running, by the list
+	listed           bool          // in the last list
+	running          bool          // up, listed and not drained by an operator
+	suspectNoted     bool          // the operator was notified that it is a suspect
+	awaitsFirstLeg   bool          // undrained by an operator and not sent to since
+	legs             int           // our legs in flight that are more than a transfer
+	probing          bool          // a probe is out
+	reportedAt       Millis        // when it reported its load last
+	reportedLoad     float64       // exchanges that it held then, those of all sidecars
 	history
 }
 
+// history is what was observed of an endpoint. It is reset when the endpoint has restarted.
 type history struct {
-	weight, limit                   float64 // room: legs it may have
-	limitCutAt, inTimeAt, lostAt    Millis  // when room last fell; last answer in time; last leg that was lost
-	successes, failures, coldTokens float64 // fading counts of outcomes; cold budget, in exchanges of mean work
-	latencySum, workSum             float64 // fading sums of times and of work ahead: their ratio is its pace
-	lastFailedKey                   KeyID   // key that failed there last
-	suspect                         bool
-	backoffs                        []backoff
-}
-
+	weight        float64   // selection weight, minWeight to maxWeight
+	limit         float64   // concurrency limit, in legs
+	limitCutAt    Millis    // when the limit was cut last
+	inTimeAt      Millis    // when it answered in time last
+	lostAt        Millis    // when a leg was lost or failed there last
+	successes     float64   // decayed count
+	failures      float64   // decayed count
+	coldTokens    float64   // token bucket while it is cold, in exchanges of mean work
+	latencySum    float64   // moving average of latency (ms) times work ahead, which includes the leg's own
+	workSum       float64   // moving average of the square of work ahead; latencySum over it is ms for one unit of work
+	lastFailedKey KeyID     // counter of the key that failed there last
+	suspect       bool      // by outlier detection
+	backoffs      []backoff // by product.index
+}
+
+// sharingPeer is a sidecar of the pool that shares an endpoint, and its last message about that.
 type sharingPeer struct {
 	peer     PeerID
-	sequence byte
-	work     float64
+	sequence byte    // number of the message
+	work     float64 // of its legs in flight at the endpoint
 	heardAt  Millis
 }
 
-// streak is how often in a row an endpoint failed one product, which it may do while it serves the others.
+// backoff counts how often in a row an endpoint failed one product, which it may do while it serves the others.
 type backoff struct {
-	failures               int
-	lastFailureAt, retryAt Millis // last counted, and when a leg may try again
+	failures      int    // in a row
+	lastFailureAt Millis // legs sent before it do not count once more
+	retryAt       Millis // when a leg may be sent again
 }
 
-// tried is a fading count of outcomes.
+// outcomeCounts are decayed counts of outcomes.
 type outcomeCounts struct{ successes, failures float64 }
 
-// keyed is what is known of a key: its outcomes, and where it failed last.
+// keyOutcomes is what is known of a key: its outcomes, and at which endpoint a failure was counted last.
 type keyOutcomes struct {
 	outcomeCounts
 	failedAt *endpoint
 }
 
+// product is a product of the Terms and what was observed of it. Latencies are in milliseconds.
 type product struct {
 	Product
-	index                                              int
-	mostSuspect                                        bool    // of a bound one: most of its endpoints are doubted
-	typicalLatency, bestLatency, failingShare, answers float64 // mean time, of late and least; failing share
-	meanSquareLatency, relativeDeviation               float64 // mean square of its times; their deviation over the mean, at the least mean
-	typicalLatencyAt, typicalTimeLeft                  Millis  // left: the time its exchanges usually have
-}
-
+	index             int     // in Balancer.products; their number for an unknown product
+	mostSuspect       bool    // it is bound to some endpoints, and most of these are suspects
+	typicalLatency    float64 // moving average
+	bestLatency       float64 // least that the typical latency has been since the first hedgeMinSamples answers
+	failingShare      float64 // moving average of the share of legs that failed
+	answers           float64 // successful legs so far
+	meanSquareLatency float64 // moving average of squared latencies
+	relativeDeviation float64 // standard deviation over the mean, when bestLatency was set
+	typicalLatencyAt  Millis  // when typicalLatency changed last
+	typicalTimeLeft   Millis  // from arrival until clients abandon, as usual for this product
+}
+
+// Balancer is an instance of the module. It is not safe for concurrent use: events come one at a time.
 type Balancer struct {
 	Outgoing
-	rng                                                                                                                                                                                              uint64
-	zone                                                                                                                                                                                             ZoneID
-	self                                                                                                                                                                                             PeerID
-	products                                                                                                                                                                                         []product
-	unknown                                                                                                                                                                                          product
-	tenantShares, admitted                                                                                                                                                                           []float64 // shares; fading counts
-	overShareValue, fleet, coldFrom, crossZoneFactor, crossZoneKeyedFactor, coldRate, minLimit, decayPerTick                                                                                         float64
-	maxLegs, legsInFlight, answerBuffers, maxProbes                                                                                                                                                  int
-	mayHedge, mayCancel, pullsList, byWork, pool, warmKeys                                                                                                                                           bool
-	now, deadlineSkew, maxRetryAfter, listBackoff, listBackoffFirst, listBackoffMax, coldPeriod, fallWindow, upkeepInterval, timerTolerance, longestExpected, readySkew, knownGoodMemory, warmPeriod Millis
+	rng                  uint64 // state of the random number generator
+	zone                 ZoneID
+	self                 PeerID
+	products             []product
+	unknown              product   // stands for products that the Terms lack
+	tenantShares         []float64 // by tenant, of all exchanges
+	admitted             []float64 // by tenant, decayed counts
+	overShareValue       float64   // factor on the rank of a tenant that exceeds its share
+	fleet                float64   // number of sidecars
+	coldFrom             float64   // part of its capacity that an endpoint has at the start
+	crossZoneFactor      float64   // on the odds of endpoints in other zones, by the price
+	crossZoneKeyedFactor float64   // the same for requests with a key that is kept warm
+	coldRate             float64   // work sent to a cold endpoint, over the work that it can do
+	minLimit             float64   // of concurrency at an endpoint
+	decayPerTick         float64   // factor on counted outcomes at each upkeep
+	maxLegs              int       // of one exchange
+	legsInFlight         int       // of all exchanges, without those that are a transfer only
+	answerBuffers        int       // answers that can be held for clients; 0 where not bounded
+	maxProbes            int       // for one exchange
+	mayHedge             bool
+	mayCancel            bool
+	pullsList            bool // the list comes only when called for
+	byWork               bool // values are for each unit of work
+	pool                 bool // sidecars notify one another of their legs
+	warmKeys             bool // requests of a key go to the endpoints that served it lately
+	now                  Millis
+	deadlineSkew         Millis // by which abandon times may be off
+	maxRetryAfter        Millis // longest advice to clients; 0 for none
+	listBackoff          Millis // wait after the next failed call for the list
+	listBackoffFirst     Millis
+	listBackoffMax       Millis
+	coldPeriod           Millis // from readyAt, while an endpoint is cold
+	fallWindow           Millis // Terms.FallWindow
+	upkeepInterval       Millis
+	timerTolerance       Millis // by which timers may be late
+	longestExpected      Millis // longest expected time of all products
+	readySkew            Millis // by which start times may be off
+	knownGoodMemory      Millis // time since an answer in time for which an endpoint is known-good
+	warmPeriod           Millis // for which an idle connection is taken to be open
 
 	calls discoveryCalls
 	lease lease
 
-	// The list. banned: out by hand; back: when that ended, for it counts as started then.
-	endpoints, ready  []*endpoint
+	// The list of endpoints.
+	endpoints         []*endpoint // all that are listed, and those that still have legs out
+	ready             []*endpoint // those that may get legs; in a pool the subset
 	byID              map[EndpointID]*endpoint
 	byWireID          map[uint16]*endpoint
 	drainedByOperator map[EndpointID]bool
-	undrainedAt       map[EndpointID]Millis
-	odds              []float64 // of the ready ones, in a pick
-
-	slots, freeSlots, queue []*exchange
-	exchanges               map[ExchangeID]*exchange
-	message                 peerMessage
-	peerExchange            exchange
-	peerLeg                 leg
-
-	latencies, sortedLatencies                                                        [latencySampleCount]float64 // latencies of satisfied legs
-	latencyCount, hedgeDelayDueAt, hedgeSlot                                          int
-	hedgeDelay, hedgeRatioAt, shedUntil                                               Millis
-	hedgeWindow                                                                       [hedgeWindowSlots]struct{ hedges, ended float64 }
-	hedgeRatio, retryTokens, typicalLatency, legsSent, legRate, admittedTotal         float64
-	lossShare, lossShareLong                                                          float64 // shares of lost legs, of late and for longer
-	slowdown                                                                          float64 // what answers take of late over their products' least
-	subsetStart, lowLossFactor                                                        float64 // where our own part of each zone begins; its share of it
-	meanRank, limitSum, readySize, unprovenFactor, overloadShare                      float64 // strange: draw of who is not familiar
-	peerWork, meanHint, hintCount, unloadedLatency, unitCapacity, latencySum, workSum float64 // the pool's legs; mean hint; a leg's time alone
-	mostSuspect, overloadNoted                                                        bool
-	legBudget                                                                         legBudget
-	canProbe                                                                          bool
-	awaitingReports                                                                   []*exchange
-	testedEndpoint                                                                    *endpoint
-	firstReport                                                                       Load
-	reportTests, freshShare                                                           float64
-	keyTraffic                                                                        [keyCounterCount]float64
-	overdueByKey                                                                      [keyCounterCount]int             // exchanges with a leg that is out for too long
-	outcomesByKey                                                                     [keyCounterCount + 1]keyOutcomes // by key; the last is of all
-	probeMinLoss                                                                      float64
-	blockedNoted                                                                      bool
-	blockedCheckedAt                                                                  Millis
-	keyTrafficTotal                                                                   float64
-	outcomesByZone                                                                    []outcomeCounts // by zone: legs lost, and in time
-	pathLatency                                                                       []float64       // by zone: the least time of its answers, rising slowly
-	drawOrder                                                                         []int
-	productsFull                                                                      []bool // in a drain, by product's place: none has room for it
-	ring                                                                              []*endpoint
-}
-
+	undrainedAt       map[EndpointID]Millis // when an operator's drain ended, which counts as a start
+	odds              []float64             // of the ready endpoints, while candidates are drawn
+
+	slots        []*exchange // all slots, in use or free
+	freeSlots    []*exchange
+	queue        []*exchange // exchanges that wait for capacity
+	exchanges    map[ExchangeID]*exchange
+	message      peerMessage // buffer of the last message to peers
+	peerExchange exchange    // stands for the exchange of a leg that a peer told of
+	peerLeg      leg         // that leg
+
+	latencies        [latencySampleCount]float64                       // ring buffer of the latencies of successful legs, ms
+	sortedLatencies  [latencySampleCount]float64                       // scratch space for the quantile
+	latencyCount     int                                               // latencies recorded so far
+	hedgeDelayDueAt  int                                               // latencyCount at which the hedge delay is computed anew
+	hedgeSlot        int                                               // current slot of hedgeWindow
+	hedgeDelay       Millis                                            // from a first leg to its hedge
+	hedgeRatioAt     Millis                                            // when hedgeRatio was computed last
+	shedUntil        Millis                                            // until then new exchanges are shed behind one that was shed
+	hedgeWindow      [hedgeWindowSlots]struct{ hedges, ended float64 } // ended: exchanges finished
+	hedgeRatio       float64                                           // hedges for each exchange finished, within the window
+	retryTokens      float64
+	typicalLatency   float64 // moving average over all products, ms
+	legsSent         float64 // since the last upkeep
+	legRate          float64 // legs sent per millisecond, moving average
+	admittedTotal    float64 // sum of admitted
+	lossShare        float64 // moving average of the share of lost legs
+	lossShareLong    float64 // the same over a longer time
+	slowdown         float64 // moving average of latencies over their product's best latency
+	subsetStart      float64 // start of the home subset on each zone's ring, 0 to 1
+	lowLossFactor    float64 // preference for the home subset: 1 while no leg is lost, down to 0 as legs are lost
+	meanRank         float64 // moving average of the ranks of exchanges
+	limitSum         float64 // concurrency limits of all ready endpoints together
+	readySize        float64 // sizes of all ready endpoints together
+	unprovenFactor   float64 // on the odds of endpoints that are not known-good
+	overloadShare    float64 // moving average of the share of time with a queue or with shedding
+	peerWork         float64 // peers' work in flight at all ready endpoints
+	meanHint         float64 // moving average of work hints
+	hintCount        float64 // hints so far
+	unloadedLatency  float64 // of a leg of mean work with nothing ahead of it, ms
+	unitCapacity     float64 // work per millisecond of a known-good endpoint of size 1
+	latencySum       float64 // as in history, over all endpoints
+	workSum          float64 // as in history, over all endpoints
+	mostSuspect      bool    // most ready endpoints are suspects, so that none is left out
+	overloadNoted    bool    // the operator was notified of an overload
+	legBudget        legBudget
+	canProbe         bool
+	awaitingReports  []*exchange // that wait for load reports
+	testedEndpoint   *endpoint   // probed to test how old its reports are; nil for none
+	firstReport      Load        // its first report of the test; Held is -2 before that
+	reportTests      float64     // tests so far
+	freshShare       float64     // moving average of the share of tests that found a changed report
+	keyTraffic       [keyCounterCount]float64
+	overdueByKey     [keyCounterCount]int             // exchanges with an overdue leg
+	outcomesByKey    [keyCounterCount + 1]keyOutcomes // the last is of all keys
+	probeMinLoss     float64                          // share of lost legs from which probes are worth their price
+	blockedNoted     bool                             // the operator was notified of blocked keys
+	blockedCheckedAt Millis                           // when blocked keys were counted last
+	keyTrafficTotal  float64                          // sum of keyTraffic
+	outcomesByZone   []outcomeCounts                  // legs answered in time, and lost
+	pathLatency      []float64                        // by zone: least latency of its answers (ms), rising slowly
+	drawOrder        []int                            // scratch space of drawTwo
+	productsFull     []bool                           // by product.index, in dispatchQueue: no endpoint has capacity for it
+	ring             []*endpoint                      // the ready endpoints, nearest to the subset's start first
+}
+
+// peerIndex is a peer's place among those that share an endpoint; -1 for none.
 func (e *endpoint) peerIndex(p PeerID) int {
 	return slices.IndexFunc(e.peers, func(k sharingPeer) bool { return k.peer == p })
 }
 
-// hush: a leg in transfer only takes no room at its endpoint.
+// setTransferOnly sets whether a leg only transfers bytes, of a request on its way in or of a streamed answer. Such a leg
+// does not count against its endpoint's concurrency limit.
 func (b *Balancer) setTransferOnly(l *leg, transferOnly bool) {
 	if transferOnly && !l.transferOnly {
 		l.to.legs, b.legsInFlight, l.to.ownWork = l.to.legs-1, b.legsInFlight-1, l.to.ownWork-l.work
@@ -150,6 +232,7 @@
 	}
 }
 
+// countAdmitted counts an exchange for its tenant's share.
 func (b *Balancer) countAdmitted(t TenantID) {
 	if t >= 0 && int(t) < len(b.admitted) {
 		b.admitted[t]++
@@ -157,6 +240,8 @@
 	}
 }
 
+// recordReport takes a load report for the test of how old reports are: the second report of the tested endpoint ends the
+// test, which shows whether the report has changed.
 func (b *Balancer) recordReport(e *endpoint, l Load) {
 	switch {
 	case e != b.testedEndpoint:
@@ -172,11 +257,13 @@
 	}
 }
 
+// stopAwaitingReports takes an exchange from those that wait for load reports.
 func (b *Balancer) stopAwaitingReports(x *exchange) {
 	b.awaitingReports = slices.DeleteFunc(b.awaitingReports, func(o *exchange) bool { return o == x })
 }
 
-// hold counts the exchanges of a key whose leg is silent: whatever they wait for, more of them would wait there too.
+// setOverdue marks an exchange whose leg takes too long, and counts those of its key: further exchanges of the key would
+// wait for the same thing.
 func (b *Balancer) setOverdue(x *exchange, on bool) {
 	if on != x.overdue && (!on || x.key != 0 && !x.answered) {
 		if x.overdue = on; on {
@@ -187,17 +274,20 @@
 	}
 }
 
+// dequeue takes an exchange out of the queue.
 func (b *Balancer) dequeue(x *exchange) {
 	b.queue = slices.DeleteFunc(b.queue, func(q *exchange) bool { return q == x })
 }
 
+// knownWork is the work in flight at an endpoint, ours and that of which peers notified us.
 func (e *endpoint) knownWork() float64 { return e.ownWork + e.peerWork }
 
-// heatOf is the share of our traffic that is about an exchange's key, or about keys that fall in with it.
+// keyTrafficShare is the share of this sidecar's exchanges that have the key of this one, or a key with the same counter.
 func (b *Balancer) keyTrafficShare(x *exchange) float64 {
 	return math.Max(b.keyTraffic[x.key%keyCounterCount]-1, 0) / (b.keyTrafficTotal + keyShareMinSamples)
 }
 
+// drawIndex draws an index of ready at random, weighted by odds, which add up to total.
 func (b *Balancer) drawIndex(total float64) int {
 	at, last := b.random()*total, 0
 	for i, w := range b.odds {
@@ -208,7 +298,8 @@
 	return last
 }
 
-// draws is a draw from the posterior of a chance of success.
+// drawSuccessRate draws from the posterior of a success rate: a beta distribution, by two gamma draws. The counts are
+// capped at 8, which bounds the number of random draws and keeps trials possible.
 func (b *Balancer) drawSuccessRate(r outcomeCounts) float64 {
 	success, failure := b.drawGamma(1+int(math.Min(r.successes, 8))), b.drawGamma(1+int(math.Min(r.failures+0.5, 8)))
 	return success / (success + failure)
@@ -221,11 +312,13 @@
 	return total
 }
 
-// age lets what was counted fade, a beat's worth, and the window of copies slide.
+// decayCounters lets all decayed counts decay by one upkeep interval, moves the window of hedges on, and computes the
+// rate of legs (time constant 2000 ms) and, from time to time, the ratio of hedges.
 func (b *Balancer) decayCounters() {
 	b.legRate += (1 - math.Exp(-float64(b.upkeepInterval)/2000)) * (b.legsSent/float64(b.upkeepInterval) - b.legRate)
 	b.legsSent, b.admittedTotal = 0, b.admittedTotal*b.decayPerTick
-	b.lossShare -= b.lossShare * float64(b.upkeepInterval/b.longestExpected) / lossDecaySpans // a shut sidecar hears nothing: it opens by itself
+	// The loss decays without outcomes too: a sidecar that sheds everything gets none and would never stop.
+	b.lossShare -= b.lossShare * float64(b.upkeepInterval/b.longestExpected) / lossDecaySpans
 	b.lossShareLong -= b.lossShareLong * float64(b.upkeepInterval/b.longestExpected) / lossLongDecaySpans
 	for t := range b.admitted {
 		b.admitted[t] *= b.decayPerTick
@@ -237,7 +330,8 @@
 		b.keyTraffic[k] *= keyDecay
 	}
 	for z := range b.outcomesByZone {
-		b.outcomesByZone[z].successes, b.outcomesByZone[z].failures = b.outcomesByZone[z].successes*b.decayPerTick, b.outcomesByZone[z].failures*b.decayPerTick
+		b.outcomesByZone[z].successes, b.outcomesByZone[z].failures =
+			b.outcomesByZone[z].successes*b.decayPerTick, b.outcomesByZone[z].failures*b.decayPerTick
 	}
 	for k := range b.outcomesByKey {
 		n := &b.outcomesByKey[k]
@@ -256,7 +350,7 @@
 	}
 }
 
-// sample keeps a latency; the timer is a percentile of those kept.
+// recordLatency records the latency of a successful leg. The delay of hedges is a quantile of the recent latencies.
 func (b *Balancer) recordLatency(took float64) {
 	b.latencies[b.latencyCount%latencySampleCount] = took
 	b.latencyCount++
@@ -264,10 +358,13 @@
 		s := b.sortedLatencies[:min(b.latencyCount, latencySampleCount)]
 		copy(s, b.latencies[:])
 		slices.Sort(s)
-		b.hedgeDelay, b.hedgeDelayDueAt = Millis(s[int(hedgeDelayQuantile*float64(len(s)-1))]), b.latencyCount+hedgeDelayRefreshSamples
+		b.hedgeDelay, b.hedgeDelayDueAt =
+			Millis(s[int(hedgeDelayQuantile*float64(len(s)-1))]), b.latencyCount+hedgeDelayRefreshSamples
 	}
 }
 
+// TimerFired handles a timer that is due: 0 is the upkeep, 1 a call for the list, leaseTimer the lease. All others belong to
+// an exchange, by slot and generation; one that was set for an earlier exchange in the slot is ignored.
 func (b *Balancer) TimerFired(t TimerID) {
 	switch slot := int(t >> 40); {
 	case t == 0:
@@ -284,13 +381,16 @@
 	}
 }
 
+// BodyDiscarded says that the part of an exchange's request that was sent is no longer buffered, so that no further leg
+// can be sent.
 func (b *Balancer) BodyDiscarded(id ExchangeID) {
 	if x := b.exchanges[id]; x != nil {
 		x.bodyDiscarded = true
 	}
 }
 
-// Whole tells that the request's last byte is written: its leg's work begins, and its time.
+// BodyComplete says that the last byte of the request has been written. The endpoint's work begins now, so that the leg's
+// latency is counted from here.
 func (b *Balancer) BodyComplete(id ExchangeID, abandonAt Millis) {
 	if x := b.exchanges[id]; x != nil && x.incomplete {
 		x.incomplete = false
@@ -304,6 +404,9 @@
 	}
 }
 
+// recordSuccess updates the typical and best latencies of a product, of all products and of the path to the endpoint's
+// zone by an answer's latency. A product's typical latency gives an answer more weight the longer the last one was ago;
+// that of all products gives it a weight of 0.005 at least.
 func (b *Balancer) recordSuccess(x *exchange, e *endpoint, took float64) {
 	b.recordLatency(took)
 	p := x.product
@@ -312,7 +415,8 @@
 	p.typicalLatency, p.typicalLatencyAt = p.typicalLatency+gain*(took-p.typicalLatency), b.now
 	p.meanSquareLatency += gain * (took*took - p.meanSquareLatency)
 	if p.answers <= hedgeMinSamples || p.typicalLatency < p.bestLatency {
-		p.bestLatency, p.relativeDeviation = p.typicalLatency, math.Sqrt(math.Max(p.meanSquareLatency/(p.typicalLatency*p.typicalLatency)-1, 0))
+		p.bestLatency, p.relativeDeviation =
+			p.typicalLatency, math.Sqrt(math.Max(p.meanSquareLatency/(p.typicalLatency*p.typicalLatency)-1, 0))
 	}
 	b.typicalLatency += math.Max(1/float64(b.latencyCount), 0.005) * (took - b.typicalLatency)
 	b.pathLatency[e.zone] = math.Min(took, cmp.Or(b.pathLatency[e.zone]*(1+pathLatencyRise), took))
@@ -320,30 +424,33 @@
 	e.successes++
 }
 
-// slows books how long an answer took over the least that its product usually takes, for as long as lost legs count.
+// recordSlowdown averages latencies over the best latency of their product, with a memory like that of the lost legs.
 func (b *Balancer) recordSlowdown(ratio float64) {
 	b.slowdown += slowdownGainRatio * b.lossGain() * (math.Min(ratio, maxSlowdown) - b.slowdown)
 }
 
-// lostGain is the part of one leg in the share of lost ones.
+// lossGain is the weight of one leg in the share of lost legs: as many legs count as go out in a longest expected time.
 func (b *Balancer) lossGain() float64 {
 	return math.Min(math.Max(1/(b.legRate*float64(b.longestExpected)+0.01), lossGainMin), lossGainMax)
 }
 
-// way is the share of legs to a zone that were answered in time.
+// zoneSuccessShare is the share of legs to a zone that were answered in time.
 func (b *Balancer) zoneSuccessShare(z ZoneID) float64 {
 	r := b.outcomesByZone[z]
 	return (r.successes + 1) / (r.successes + r.failures + 1)
 }
 
+// ListStarts begins a whole list: endpoints that are not in it are no longer listed.
 func (b *Balancer) ListStarts() {
 	for _, e := range b.endpoints {
 		e.listed = false
 	}
 }
 
+// Listed takes one entry of a list or of a change of the list. Size is the capacity relative to other endpoints, and readyAt
+// when the endpoint's process was ready; 0 for unknown, in both. A later readyAt than before means a restart.
 func (b *Balancer) Listed(id EndpointID, h Health, zone ZoneID, kind KindID, cell CellID, size float64, readyAt Millis) {
-	if readyAt > 0 { // told too early or too late: it is cold for longer
+	if readyAt > 0 { // start times may be off in either direction, so the endpoint counts as cold for longer
 		readyAt += b.readySkew
 	}
 	e := b.byID[id]
@@ -352,9 +459,9 @@
 		b.byID[id], b.byWireID[e.wireID], b.endpoints = e, e, append(b.endpoints, e)
 		b.resetHistory(e)
 	} else if readyAt > e.readyAt {
-		b.resetHistory(e) // a restart: what was known of the old process misleads about the new one
+		b.resetHistory(e) // a restart: what was observed of the old process does not hold for the new one
 	}
-	// Back by hand means restarted, whatever older start the list still tells.
+	// An endpoint counts as restarted at the end of an operator's drain, even if the list still has an older start time.
 	for int(max(zone, b.zone)) >= len(b.outcomesByZone) {
 		b.outcomesByZone, b.pathLatency = append(b.outcomesByZone, outcomeCounts{}), append(b.pathLatency, 0)
 	}
@@ -367,7 +474,8 @@
 	e.running = e.up && !b.drainedByOperator[id]
 }
 
-// Began hands over a streamed answer's start, after which the leg is the client's own.
+// StreamBegan says that a leg's answer has begun and is streamed to the client. The leg counts as succeeded, the
+// exchange's other legs are cancelled, and the stream has no deadline from here on.
 func (b *Balancer) StreamBegan(id ExchangeID, n LegNo) {
 	if x := b.exchanges[id]; x != nil && int(n) < len(x.legs) && !x.legs[n].ended {
 		l := &x.legs[n]
@@ -380,17 +488,21 @@
 	}
 }
 
+// ClientLeft says that the client of an exchange has gone away.
 func (b *Balancer) ClientLeft(id ExchangeID) {
 	if x := b.exchanges[id]; x != nil {
 		x.next(b, x, stepEvent{kind: clientLeft})
 	}
 }
 
-const goldenRatio = 0.6180339887498949 // multiples of it lie evenly on a ring, however many there are (Weyl; Knuth 6.4)
+// goldenRatio spreads numbers over a ring: its multiples lie evenly there, however many there are (Weyl; Knuth 6.4).
+const goldenRatio = 0.6180339887498949
 
+// fractionalPart is a position on a ring of length 1.
 func fractionalPart(f float64) float64 { return f - math.Floor(f) }
 
-// placeOf is where the own part of a sidecar begins, by its number; where none is told anywhere, but not where all are.
+// subsetStartOf is where the home subset of a sidecar begins on the rings, by its number. Without a number it is random, so
+// that such sidecars do not all begin at the same endpoints.
 func (b *Balancer) subsetStartOf(number PeerID) float64 {
 	if number < 0 {
 		return b.random()
@@ -398,8 +510,8 @@
 	return fractionalPart(float64(number) * goldenRatio)
 }
 
-// settleIn says how far each endpoint is from our own place on a ring in the order of their hashes, one for each zone where
-// the way to another has a price.
+// buildRing orders the ready endpoints by their distance from the subset's start on a ring, on which they lie at even
+// distances in the order of their hashes. Where crossing zones has a price, each zone has a ring of its own.
 func (b *Balancer) buildRing() {
 	ringOf := func(e *endpoint) ZoneID {
 		if b.crossZoneFactor == 1 {
@@ -416,16 +528,20 @@
 		for to < len(b.ring) && ringOf(b.ring[to]) == zone {
 			to++
 		}
-		for n := from; n < to; n++ { // zones stand between each other's, or one of them would come first at every sidecar
-			b.ring[n].ringDistance = fractionalPart((float64(n-from)+fractionalPart(float64(zone)*goldenRatio))/float64(to-from) - b.subsetStart)
+		for n := from; n < to; n++ {
+			// Each zone's ring is shifted, or endpoints of the same zone would come first at every sidecar.
+			b.ring[n].ringDistance = fractionalPart(
+				(float64(n-from)+fractionalPart(float64(zone)*goldenRatio))/float64(to-from) - b.subsetStart)
 		}
 		from = to
 	}
 	slices.SortStableFunc(b.ring, func(p, q *endpoint) int { return cmp.Compare(p.ringDistance, q.ringDistance) })
 }
 
+// isCold tells whether an endpoint is in the cold period after its start.
 func (b *Balancer) isCold(e *endpoint) bool { return e.readyAt > 0 && b.now < e.readyAt+b.coldPeriod }
 
+// warmFraction is the part of its capacity that an endpoint has now (slow start): it rises linearly over the cold period.
 func (b *Balancer) warmFraction(e *endpoint) float64 {
 	if !b.isCold(e) {
 		return 1
@@ -433,25 +549,29 @@
 	return b.coldFrom + (1-b.coldFrom)*math.Max(float64((b.now-e.readyAt)/b.coldPeriod), 0)
 }
 
+// relativeWork is an exchange's work in units of the mean leg's, by its product's typical latency.
 func (b *Balancer) relativeWork(x *exchange) float64 {
 	return x.product.typicalLatency / b.typicalLatency
 }
 
-// time is what an exchange would take at an endpoint behind all that a pool knows to be there.
+// expectedLatency is the time that an exchange would take at an endpoint behind all work that is known to be there.
 func (b *Balancer) expectedLatency(x *exchange, e *endpoint) float64 {
 	return (e.knownWork() + x.work) * e.latencySum / e.workSum
 }
 
+// SetNow sets the clock. It is called before each event.
 func (b *Balancer) SetNow(now Millis) { b.now = now }
 
+// stepFinished is the state of an exchange that is over but may have legs out; its slot is released with the last of them.
 func stepFinished(b *Balancer, x *exchange, _ stepEvent) {
 	if x.legsInFlight == 0 {
 		b.releaseSlot(x)
 	}
 }
 
-// unseen is what an endpoint is taken to need for two of whom nothing was seen: in a pool half the usual, to be found out.
-// Without talk all sidecars would come at once for that: it is taken for one like all.
+// initialLatencySum is the latency sum of an endpoint of which nothing was observed, for a work sum of 2. In a pool it
+// counts as twice as fast as usual, so that it is tried soon. Without messages between the sidecars all of them would send
+// to it at once for that, so that it counts as one of mean speed.
 func (b *Balancer) initialLatencySum() float64 {
 	if b.pool {
 		return b.typicalLatency
--- a/logic/view.go
+++ b/logic/view.go
@@ -5,28 +5,50 @@
 	"math"
 )
 
-// View is what an instance sees, for staff and logs. Nothing is decided by it.
+// View is the state of an instance for operators and logs. Nothing is decided by it. The debug log has the fields under
+// these names.
 type View struct {
-	Ready, Cold, Idle, IdleCold, Doubted, Familiar, Home, Waiting, Legs int  // Home: places of our own
-	Stuck, Asking                                                       int  // keys let in by trials only; exchanges that await loads
-	Asks                                                                bool // endpoints are asked for their load
-	Fresh                                                               float64
-	Rooms, Tokens, Lost, LostLong, Overload, Rate, Usual, Calm          float64 // Calm: 1 while these are drawn in full, 0 where only the familiar count
+	Ready    int     // endpoints that may get legs
+	Cold     int     // those of them that are cold
+	Idle     int     // ready endpoints without a leg of ours
+	IdleCold int     // those of them that are cold
+	Doubted  int     // ready endpoints that are suspects
+	Familiar int     // ready endpoints that are known-good
+	Home     int     // ready endpoints in the home subset
+	Waiting  int     // exchanges in the queue
+	Legs     int     // in flight
+	Stuck    int     // blocked keys, whose exchanges are admitted as trials only
+	Asking   int     // exchanges that wait for load reports
+	Asks     bool    // endpoints are probed before exchanges are sent
+	Fresh    float64 // share of tests that found a changed load report
+	Rooms    float64 // concurrency limits of the ready endpoints together
+	Tokens   float64 // of the cold endpoints together
+	Lost     float64 // share of lost legs
+	LostLong float64 // the same over a longer time
+	Overload float64 // part of the exchanges that is shed
+	Rate     float64 // legs sent per second
+	Usual    float64 // typical latency of all products, ms
+	Calm     float64 // 1 while endpoints of the home subset are drawn in full, 0 where only known-good ones count
 }
 
-// View counts the endpoints that are ready by what is known of them.
+// View returns the state of the instance, with the ready endpoints counted by what is known of them.
 func (b *Balancer) View() View {
 	v := View{
-		Ready: len(b.ready), Waiting: len(b.queue), Legs: b.legsInFlight, Rooms: b.limitSum, Lost: b.lossShare, LostLong: b.lossShareLong,
+		Ready: len(b.ready), Waiting: len(b.queue), Legs: b.legsInFlight, Rooms: b.limitSum,
+		Lost: b.lossShare, LostLong: b.lossShareLong,
 		Overload: b.overload(), Rate: b.legRate * 1000, Usual: b.typicalLatency,
-		Stuck: b.blockedKeys(), Asking: len(b.awaitingReports), Asks: b.shouldProbe(), Fresh: b.freshShare, Calm: b.lowLossFactor,
+		Stuck: b.blockedKeys(), Asking: len(b.awaitingReports), Asks: b.shouldProbe(),
+		Fresh: b.freshShare, Calm: b.lowLossFactor,
 	}
 	for _, e := range b.ready {
 		cold, idle := b.isCold(e), e.legs == 0
 		for _, c := range []struct {
 			is bool
 			n  *int
-		}{{cold, &v.Cold}, {idle, &v.Idle}, {idle && cold, &v.IdleCold}, {e.suspect, &v.Doubted}, {b.knownGood(e), &v.Familiar}, {e.home, &v.Home}} {
+		}{
+			{cold, &v.Cold}, {idle, &v.Idle}, {idle && cold, &v.IdleCold},
+			{e.suspect, &v.Doubted}, {b.knownGood(e), &v.Familiar}, {e.home, &v.Home},
+		} {
 			if c.is {
 				*c.n++
 			}
@@ -38,6 +60,7 @@
 	return v
 }
 
+// blockedKeys counts the key counters that are blocked.
 func (b *Balancer) blockedKeys() (n int) {
 	for k := range keyCounterCount {
 		if b.blocked(&exchange{key: KeyID(k) + keyCounterCount}) {
@@ -47,7 +70,8 @@
 	return n
 }
 
-// Avoided counts the listed endpoints that get nothing but, at the most, a trial now: by the list, by hand or by choice.
+// AvoidedEndpoints counts the listed endpoints that get no leg or trials only: by the list, by an operator's drain or as
+// suspects.
 func (b *Balancer) AvoidedEndpoints() (n int) {
 	for _, e := range b.endpoints {
 		if e.listed && (!e.running || e.suspect && !b.mostSuspect) {
@@ -57,7 +81,8 @@
 	return n
 }
 
-// report tells on-call staff of states that last; what comes and goes in a moment is no news.
+// noteLastingStates notifies the operator of suspects, blocked keys and overload, and of their ends. States that come and
+// go within a longest expected time are left out.
 func (b *Balancer) noteLastingStates() {
 	for _, e := range b.ready {
 		if e.suspect != e.suspectNoted && b.now-e.suspectChangedAt > b.longestExpected {
