--- a/logic/drain_queued_test.go
+++ b/logic/drain_queued_test.go
@@ -15,7 +15,7 @@
 		inFlight := map[EndpointID][]ExchangeID{}
 		for n := 0; len(b.queue) < 20 && n < 500; n++ {
 			x := ExchangeID(fmt.Sprint(n))
-			if to := arrive(b, r, x, replayable); to != "" {
+			if to := arrive(b, r, x, retryable); to != "" {
 				inFlight[to] = append(inFlight[to], x)
 			}
 		}
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -37,7 +37,7 @@
 	return matched
 }
 
-const replayable, referenced, singleUse, globalReferenced = ProductID(0), ProductID(1), ProductID(2), ProductID(3)
+const retryable, deduplicated, singleUse, globallyDeduplicated = ProductID(0), ProductID(1), ProductID(2), ProductID(3)
 
 // begin starts an instance with one endpoint for each letter of names, two to a cell.
 func newTestBalancer(names string) (*Balancer, *recorder) {
@@ -76,7 +76,7 @@
 func serve(b *Balancer, r *recorder, n int, took Millis) {
 	for i := range n {
 		x := ExchangeID(fmt.Sprintf("s%d-%d", b.latencyCount, i))
-		arrive(b, r, x, replayable)
+		arrive(b, r, x, retryable)
 		b.SetNow(b.now + took)
 		b.LegEnded(x, 0, Succeeded, took, true)
 	}
@@ -97,7 +97,7 @@
 func serveWithKey(b *Balancer, r *recorder, n int, key KeyID, took Millis) EndpointID {
 	x := ExchangeID(fmt.Sprint(n))
 	r.take()
-	b.Arrive(x, replayable, -1, key, b.now+4000, 0, false)
+	b.Arrive(x, retryable, -1, key, b.now+4000, 0, false)
 	to := sentTo(r)
 	b.LegEnded(x, 0, Succeeded, took, true)
 	return to
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -54,14 +54,14 @@
 	got := map[EndpointID]int{}
 	for n := range 400 {
 		x := ExchangeID(fmt.Sprint(n))
-		got[arrive(b, r, x, replayable)]++
+		got[arrive(b, r, x, retryable)]++
 		b.LegEnded(x, 0, Cancelled, 0, true)
 	}
 	assert.Less(t, got["a"], 80)
 	assert.Greater(t, got["a"], 0)
 }
 
-func TestHedgeTimerIsPercentileAfter20Samples(t *testing.T) {
+func TestHedgeDelayIsPercentileAfter20Samples(t *testing.T) {
 	b, r := newTestBalancer("abcd")
 	for n := range 20 {
 		assert.Zero(t, b.hedgeDelay)
@@ -78,11 +78,11 @@
 		longTermLoss float64
 		hedges       int
 	}{
-		{"replayable", replayable, 0, 0, 1},
-		{"referenced, inside its cell", referenced, 0, 0, 1},
+		{"replayable", retryable, 0, 0, 1},
+		{"referenced, inside its cell", deduplicated, 0, 0, 1},
 		{"single-use never", singleUse, 0, 0, 0},
-		{"no room in the ratio", replayable, 0.1, 0, 0},
-		{"a slowdown shared by all", replayable, 0, 0.5, 0},
+		{"no room in the ratio", retryable, 0.1, 0, 0},
+		{"a slowdown shared by all", retryable, 0, 0.5, 0},
 	} {
 		b, r := newTestBalancer("abcd")
 		serve(b, r, 40, 50)
@@ -95,7 +95,7 @@
 		assert.Equal(t, c.hedges == 1, to != "", c.name)
 		if to != "" {
 			assert.NotEqual(t, first, to, c.name)
-			assert.Equal(t, c.product == referenced, b.byID[first].cell == b.byID[to].cell && c.product == referenced)
+			assert.Equal(t, c.product == deduplicated, b.byID[first].cell == b.byID[to].cell && c.product == deduplicated)
 			b.LegEnded("x", 1, Succeeded, 50, true)
 			assert.Equal(t, []string{"cancel x 0"}, r.take("cancel"), c.name)
 		}
@@ -121,8 +121,8 @@
 		retried bool
 		final   []string
 	}{
-		{replayable, Errored, true, noAnswer}, {replayable, TimedOut, true, noAnswer}, {replayable, NoConnection, true, noAnswer},
-		{referenced, Errored, true, noAnswer}, {referenced, Full, true, noAnswer}, {globalReferenced, Reset, true, noAnswer},
+		{retryable, Errored, true, noAnswer}, {retryable, TimedOut, true, noAnswer}, {retryable, NoConnection, true, noAnswer},
+		{deduplicated, Errored, true, noAnswer}, {deduplicated, Full, true, noAnswer}, {globallyDeduplicated, Reset, true, noAnswer},
 		{singleUse, NoConnection, true, noAnswer}, {singleUse, Full, true, noAnswer}, {singleUse, NotSent, true, noAnswer},
 		{singleUse, Errored, false, []string{"forfeit x"}}, {singleUse, TimedOut, false, []string{"forfeit x"}},
 		{singleUse, Unknown, false, []string{"forfeit x"}}, {singleUse, Cancelled, false, []string{"forfeit x"}},
@@ -135,14 +135,14 @@
 		to := sentTo(r)
 		assert.Equal(t, c.retried, to != "", "%v", c)
 		assert.Equal(t, c.final, (&recorder{lines: final}).take("dismiss", "forfeit"), "%v", c)
-		if c.product == referenced && c.outcome == Errored {
+		if c.product == deduplicated && c.outcome == Errored {
 			assert.Equal(t, b.byID[first].cell, b.byID[to].cell, "only its cell knows the mark")
 		}
 	}
 }
 
 func TestNoFurtherLegWithoutRetryBudget(t *testing.T) {
-	for p, want := range map[ProductID]string{replayable: "dismiss x", referenced: "forfeit x", globalReferenced: "dismiss x"} {
+	for p, want := range map[ProductID]string{retryable: "dismiss x", deduplicated: "forfeit x", globallyDeduplicated: "dismiss x"} {
 		b, r := newTestBalancer("abcd")
 		b.retryTokens = 0.5
 		arrive(b, r, "x", p)
@@ -151,10 +151,10 @@
 	}
 }
 
-func TestReferencedRetryOnlyWithinDedupPeriod(t *testing.T) {
+func TestDeduplicatedRetryOnlyWithinDedupMemory(t *testing.T) {
 	for wait, want := range map[Millis]bool{700: true, 1000: false} {
 		b, r := newTestBalancer("ab")
-		arrive(b, r, "x", referenced)
+		arrive(b, r, "x", deduplicated)
 		b.SetNow(b.now + wait)
 		b.LegEnded("x", 0, Errored, wait, false)
 		assert.Equal(t, want, sentTo(r) != "")
@@ -173,7 +173,7 @@
 		}
 	}
 	b, r := newTestBalancer("")
-	arrive(b, r, "x", replayable)
+	arrive(b, r, "x", retryable)
 	assert.Empty(t, b.exchanges, "answered at once, nothing kept")
 	b.ListCallFailed()
 	assert.Len(t, r.take("wake 1 "), 1)
@@ -189,7 +189,7 @@
 	coldLegs := 0
 	for n := range 500 {
 		x := ExchangeID(fmt.Sprint(n))
-		if arrive(b, r, x, replayable) == "c" {
+		if arrive(b, r, x, retryable) == "c" {
 			coldLegs++
 		}
 		b.SetNow(b.now + 4)
@@ -206,10 +206,10 @@
 func TestStaleTimersAndLateOutcomesAreIgnored(t *testing.T) {
 	b, r := newTestBalancer("abcd")
 	serve(b, r, 20, 50)
-	arrive(b, r, "x", replayable)
+	arrive(b, r, "x", retryable)
 	stale := TimerID(b.exchanges["x"].slot)<<40 | TimerID(b.exchanges["x"].generation)<<8 | TimerID(hedgeDue)<<4 | 2
 	b.LegEnded("x", 0, Succeeded, 50, true)
-	arrive(b, r, "y", replayable)
+	arrive(b, r, "y", retryable)
 	slot := b.exchanges["y"].slot
 	assert.Equal(t, slot, int(stale>>40), "the place is used again")
 	b.TimerFired(stale)
@@ -220,7 +220,7 @@
 
 func TestClientGoneCancelsAndLastTimeoutFails(t *testing.T) {
 	b, r := newTestBalancer("ab")
-	arrive(b, r, "x", replayable)
+	arrive(b, r, "x", retryable)
 	b.ClientLeft("x")
 	assert.Equal(t, []string{"cancel x 0"}, r.take("cancel", "forfeit", "dismiss"))
 	b.LegEnded("x", 0, Cancelled, 1, true)
@@ -233,7 +233,7 @@
 
 func TestStreamedAnswerIsNeitherHedgedNorCancelled(t *testing.T) {
 	b, r := newTestBalancer("ab")
-	arrive(b, r, "x", replayable)
+	arrive(b, r, "x", retryable)
 	b.StreamBegan("x", 0)
 	b.TimerFired(TimerID(hedgeDue)<<4 | 2)
 	assert.Empty(t, r.take("send", "cancel", "dismiss", "forfeit"))
@@ -245,14 +245,14 @@
 func TestHungEndpointIsAvoidedBeforeTimeout(t *testing.T) {
 	b, r := newTestBalancer("abc")
 	serve(b, r, 60, 50)
-	hung := arrive(b, r, "x", replayable)
+	hung := arrive(b, r, "x", retryable)
 	runUpkeep(b, 5)
 	assert.True(t, b.exchanges["x"].legs[0].lost, "counted while it is still out")
 	b.hedgeRatio = 1 // no copies
 	legsWhileHung := 0
 	for n := range 100 {
 		x := ExchangeID(fmt.Sprint(n))
-		if arrive(b, r, x, replayable) == hung {
+		if arrive(b, r, x, retryable) == hung {
 			legsWhileHung++
 		}
 		b.LegEnded(x, 0, Succeeded, 50, true)
@@ -264,7 +264,7 @@
 	for range 1000 {
 		runUpkeep(b, 1)
 		x := ExchangeID(fmt.Sprint(b.now))
-		if arrive(b, r, x, replayable) == hung {
+		if arrive(b, r, x, retryable) == hung {
 			legsLater++
 		}
 		b.LegEnded(x, 0, Succeeded, 50, true)
@@ -310,27 +310,27 @@
 	} {
 		b, _ := newTestBalancer("abcd")
 		b.minLimit, b.legRate = min(fleetMinLimit/c.fleet, 1), 0.002
-		b.lossShare, b.lossShareLong, b.products[referenced].Value = c.lost, c.longTerm, 5
+		b.lossShare, b.lossShareLong, b.products[deduplicated].Value = c.lost, c.longTerm, 5
 		admitted := map[ProductID]int{}
 		for range 100 {
-			for _, p := range []ProductID{replayable, referenced} {
+			for _, p := range []ProductID{retryable, deduplicated} {
 				b.shedUntil = 0
 				if b.admit(&exchange{product: &b.products[p], tenant: -1}, false) == LegsFailed {
 					admitted[p]++
 				}
 			}
 		}
-		total := admitted[replayable] + admitted[referenced]
+		total := admitted[retryable] + admitted[deduplicated]
 		assert.True(t, total >= c.least && total <= c.most, "%s: %v", c.name, admitted)
-		assert.GreaterOrEqual(t, admitted[referenced], admitted[replayable], c.name)
+		assert.GreaterOrEqual(t, admitted[deduplicated], admitted[retryable], c.name)
 	}
 	b, r := newTestBalancer("abcd")
 	b.minLimit, b.legRate, b.lossShare, b.lossShareLong = 0.04, 0.002, 1, 0.5
-	arrive(b, r, "first", replayable)
+	arrive(b, r, "first", retryable)
 	b.lossShare, b.lossShareLong = 0, 0
-	assert.Empty(t, arrive(b, r, "at once", replayable))
+	assert.Empty(t, arrive(b, r, "at once", retryable))
 	b.SetNow(b.now + b.upkeepInterval)
-	assert.NotEmpty(t, arrive(b, r, "later", replayable))
+	assert.NotEmpty(t, arrive(b, r, "later", retryable))
 	b.lossShare, b.lossShareLong = 1, 0.5
 	runUpkeep(b, 600)
 	assertClose(t, 0, b.overload())
@@ -434,7 +434,7 @@
 	legs := 0
 	for n := range 200 {
 		x := ExchangeID(fmt.Sprint(n))
-		if to := arrive(b, r, x, replayable); to == "a" {
+		if to := arrive(b, r, x, retryable); to == "a" {
 			legs++
 			b.LegEnded(x, 0, Errored, 1, false)
 			if retried := b.exchanges[x]; retried != nil {
@@ -454,7 +454,7 @@
 		b, r := newTestBalancer(names)
 		r.take()
 		for n := range 8 {
-			b.Arrive(ExchangeID(fmt.Sprint(n)), replayable, -1, 0, b.now+4000, 0, false)
+			b.Arrive(ExchangeID(fmt.Sprint(n)), retryable, -1, 0, b.now+4000, 0, false)
 		}
 		waits, before := []Millis{}, b.now
 		for _, line := range r.take("dismiss", "forfeit", "wake") {
@@ -491,15 +491,15 @@
 	a.limit = 1
 	b.products[3].Value = 5
 	arrive(b, r, "x", singleUse)
-	assert.Empty(t, arrive(b, r, "low", replayable))
-	assert.Empty(t, arrive(b, r, "high", globalReferenced))
+	assert.Empty(t, arrive(b, r, "low", retryable))
+	assert.Empty(t, arrive(b, r, "high", globallyDeduplicated))
 	b.LegEnded("x", 0, Succeeded, 100, true)
 	assert.Equal(t, "send high a", r.take("send")[0])
 	b.admitted[0], b.admitted[1], b.admittedTotal = 9, 1, 10
 	over, within := &exchange{product: &b.products[0], tenant: 0}, &exchange{product: &b.products[0], tenant: 1}
 	assert.Less(t, b.rank(over), b.rank(within))
 	for n := range 50 {
-		arrive(b, r, ExchangeID(fmt.Sprint(n)), replayable)
+		arrive(b, r, ExchangeID(fmt.Sprint(n)), retryable)
 	}
 	assert.Less(t, len(b.queue), 10, "what is not likely to be answered in time is dismissed at once")
 }
@@ -514,9 +514,9 @@
 		{100, 390, false}, {100, 410, true}, {250, 440, false}, {250, 460, true}, {400, 490, false}, {400, 510, true},
 	} {
 		b, r := newTestBalancer("a")
-		b.products[replayable].bestLatency, b.products[replayable].answers = c.best, hedgeMinSamples
-		b.products[replayable].typicalLatency = 600
-		arrive(b, r, "x", replayable)
+		b.products[retryable].bestLatency, b.products[retryable].answers = c.best, hedgeMinSamples
+		b.products[retryable].typicalLatency = 600
+		arrive(b, r, "x", retryable)
 		b.LegEnded("x", 0, Succeeded, c.took, true)
 		assert.Equal(t, c.late, b.byID["a"].limitCutAt > 0, "%v", c)
 	}
@@ -530,7 +530,7 @@
 		for n := range 100 {
 			x := ExchangeID(fmt.Sprint(n))
 			b.retryTokens = 0
-			if to := arrive(b, r, x, replayable); to != "" {
+			if to := arrive(b, r, x, retryable); to != "" {
 				b.SetNow(b.now + 900)
 				b.LegEnded(x, 0, Succeeded, 900, true)
 			}
@@ -619,7 +619,7 @@
 func TestOwnZoneIsPreferred(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		room        float64
+		limit       float64
 		gone        bool
 		least, most int
 	}{
@@ -639,12 +639,12 @@
 		away := 0
 		for n := range 60 {
 			x := ExchangeID(fmt.Sprint(n))
-			b.byID["a"].limit, b.byID["b"].limit = c.room, c.room
+			b.byID["a"].limit, b.byID["b"].limit = c.limit, c.limit
 			b.byID["c"].limit, b.byID["d"].limit = 4, 4
-			if c.room == 0 {
+			if c.limit == 0 {
 				b.byID["a"].ownWork, b.byID["b"].ownWork = 1, 1
 			}
-			if to := arrive(b, r, x, replayable); to == "c" || to == "d" {
+			if to := arrive(b, r, x, retryable); to == "c" || to == "d" {
 				away++
 			}
 			b.LegEnded(x, 0, Succeeded, 50, true)
@@ -660,7 +660,7 @@
 	for seed := range uint64(40) {
 		b, r := newTestBalancer("abcd")
 		b.rng ^= seed * 0x9e3779b97f4a7c15
-		firstTargets[arrive(b, r, "x", replayable)]++
+		firstTargets[arrive(b, r, "x", retryable)]++
 		before := b.listBackoff
 		b.ListCallFailed()
 		waits[r.take("wake 1 ")[0]] = true
@@ -720,7 +720,7 @@
 			id := ids[n%3]
 			n++
 			b.SetNow(b.now + 50)
-			b.Arrive(id, replayable, -1, KeyID(n%7), b.now+4000, 0, false)
+			b.Arrive(id, retryable, -1, KeyID(n%7), b.now+4000, 0, false)
 			for _, e := range b.endpoints {
 				if e.probing {
 					b.Probed(e.id, true, Load{Held: 1})
@@ -764,7 +764,7 @@
 			b.LegEnded(x, 0, Reset, 5, false)
 			continue
 		}
-		assert.NotEmpty(t, arrive(b, r, x, globalReferenced), "%s finds room", x)
+		assert.NotEmpty(t, arrive(b, r, x, globallyDeduplicated), "%s finds room", x)
 		b.LegEnded(x, 0, Succeeded, 5, true)
 		if n%15 == 1 {
 			runUpkeep(b, 1)
@@ -772,10 +772,10 @@
 		assert.False(t, slices.ContainsFunc(b.ready, func(e *endpoint) bool { return e.suspect }), "after %d", n)
 	}
 	assert.Greater(t, b.products[singleUse].failingShare, 0.9)
-	assert.Less(t, b.products[globalReferenced].failingShare, 0.1)
+	assert.Less(t, b.products[globallyDeduplicated].failingShare, 0.1)
 	b.LegEnded("x", 0, Reset, 5, false)
-	b.products[replayable].failingShare = 0.95
-	arrive(b, r, "last", replayable)
+	b.products[retryable].failingShare = 0.95
+	arrive(b, r, "last", retryable)
 	b.LegEnded("last", 0, Reset, 5, false)
 	assert.Empty(t, sentTo(r), "what fails everywhere leaves further legs to others")
 }
@@ -800,7 +800,7 @@
 // What has left the list for good is let go once no leg is out; ids are ever new.
 func TestGoneEndpointsAreRemovedAfterTheirLastLeg(t *testing.T) {
 	b, r := newTestBalancer("ab")
-	to := arrive(b, r, "x", replayable)
+	to := arrive(b, r, "x", retryable)
 	for _, id := range []EndpointID{"a", "b"} {
 		b.Listed(id, Gone, 0, 0, 0, 1, 0)
 	}
@@ -825,7 +825,7 @@
 func TestEndpointBacksOffPerProduct(t *testing.T) {
 	b, r := newTestBalancer("ab")
 	ids := 0
-	serve40 := func(p ProductID, o Outcome) map[EndpointID]int {
+	legsByEndpoint := func(p ProductID, o Outcome) map[EndpointID]int {
 		got := map[EndpointID]int{}
 		for range 40 {
 			ids++
@@ -840,29 +840,29 @@
 		}
 		return got
 	}
-	assert.NotZero(t, serve40(globalReferenced, Succeeded)["a"])
-	b.byID["a"].backoffs[globalReferenced] = backoff{failures: 1}
-	arrive(b, r, "lost", globalReferenced)
+	assert.NotZero(t, legsByEndpoint(globallyDeduplicated, Succeeded)["a"])
+	b.byID["a"].backoffs[globallyDeduplicated] = backoff{failures: 1}
+	arrive(b, r, "lost", globallyDeduplicated)
 	for b.exchanges["lost"].legs[0].to.id != "a" {
 		b.ClientLeft("lost")
 		b.LegEnded("lost", 0, Cancelled, 0, true)
-		arrive(b, r, "lost", globalReferenced)
+		arrive(b, r, "lost", globallyDeduplicated)
 	}
 	b.SetNow(b.now + 950)
 	b.TimerFired(0)                             // it is silent for too long,
 	b.LegEnded("lost", 0, Cancelled, 950, true) // and a copy elsewhere came first
 	b.byID["a"].suspect = false
-	assert.Zero(t, serve40(globalReferenced, Succeeded)["a"], "at rest")
+	assert.Zero(t, legsByEndpoint(globallyDeduplicated, Succeeded)["a"], "at rest")
 	b.byID["a"].lostAt = 0
 	b.updateSelection()
-	assert.NotZero(t, serve40(singleUse, Succeeded)["a"], "not for the others")
-	b.byID["b"].backoffs[globalReferenced] = backoff{failures: 2, retryAt: b.now + 1000}
-	assert.False(t, b.backsOff(&exchange{product: &b.products[globalReferenced]}, b.byID["a"]), "nobody else serves it")
-	b.byID["b"].backoffs[globalReferenced] = backoff{}
-	b.byID["a"].backoffs[globalReferenced] = backoff{failures: 2, retryAt: b.now}
+	assert.NotZero(t, legsByEndpoint(singleUse, Succeeded)["a"], "not for the others")
+	b.byID["b"].backoffs[globallyDeduplicated] = backoff{failures: 2, retryAt: b.now + 1000}
+	assert.False(t, b.backsOff(&exchange{product: &b.products[globallyDeduplicated]}, b.byID["a"]), "nobody else serves it")
+	b.byID["b"].backoffs[globallyDeduplicated] = backoff{}
+	b.byID["a"].backoffs[globallyDeduplicated] = backoff{failures: 2, retryAt: b.now}
 	trials := 0
 	for n := range 40 {
-		if arrive(b, r, ExchangeID(fmt.Sprint("t", n)), globalReferenced) == "a" {
+		if arrive(b, r, ExchangeID(fmt.Sprint("t", n)), globallyDeduplicated) == "a" {
 			trials++
 		}
 	}
@@ -880,9 +880,9 @@
 		{0, 500, false}, {0, 600, true}, {0.25, 600, false}, {0.25, 850, false}, {0.25, 950, true}, {0.5, 850, false}, {1, 950, true},
 	} {
 		b, r := newTestBalancer("ab")
-		p := &b.products[replayable]
+		p := &b.products[retryable]
 		p.OverdueShare, p.Abandon, p.bestLatency = c.overdue, 4000, 300
-		b.Arrive("x", replayable, -1, 0, b.now+4000, 0, false)
+		b.Arrive("x", retryable, -1, 0, b.now+4000, 0, false)
 		assert.NotEmpty(t, sentTo(r))
 		b.recordTiming(b.exchanges["x"], &b.exchanges["x"].legs[0], Succeeded, float64(c.took))
 		assert.Equal(t, c.lost, b.lossShare > 0, "%+v", c)
@@ -913,7 +913,7 @@
 		}
 		b.unprovenFactor = 0.001
 		x := ExchangeID(fmt.Sprint("c", cold+unproven, b.latencyCount))
-		switch to := arrive(b, r, x, replayable); {
+		switch to := arrive(b, r, x, retryable); {
 		case to >= "k":
 			cold++
 		case to >= "e":
@@ -931,9 +931,9 @@
 func TestHomeSubsetsCoverEndpointsEvenly(t *testing.T) {
 	const fleet, endpoints, subsetSize = 300, 100, 4
 	sidecarsByEndpoint := map[EndpointID]int{}
-	for me := range PeerID(fleet) {
+	for sidecar := range PeerID(fleet) {
 		r := &recorder{}
-		b := New(Terms{Seed: uint64(me), Fleet: fleet, SidecarNumber: me, Products: []Product{{Expected: 400, Abandon: 1500, Value: 1}}, MaxLegs: 3}, r, 1e6)
+		b := New(Terms{Seed: uint64(sidecar), Fleet: fleet, SidecarNumber: sidecar, Products: []Product{{Expected: 400, Abandon: 1500, Value: 1}}, MaxLegs: 3}, r, 1e6)
 		b.ListStarts()
 		for n := range endpoints {
 			b.Listed(EndpointID(fmt.Sprint("e", n)), Running, ZoneID(n%3), 0, 0, 1, 0)
@@ -947,7 +947,7 @@
 			}
 		}
 		assert.Len(t, subset, subsetSize)
-		if me > 0 {
+		if sidecar > 0 {
 			continue
 		}
 		// One more endpoint moves about one share, not all.
@@ -1035,7 +1035,7 @@
 		}
 		b.limitSum = 0
 		for n := range 20 {
-			arrive(b, r, ExchangeID(fmt.Sprint("x", n)), replayable)
+			arrive(b, r, ExchangeID(fmt.Sprint("x", n)), retryable)
 		}
 		assert.InDelta(t, c.legs, b.legsInFlight, 1, "%+v", c)
 	}
@@ -1059,7 +1059,7 @@
 		b.ListEnds(false)
 		for n := range 20 {
 			x := ExchangeID(fmt.Sprint(name, n))
-			assert.NotEqual(t, EndpointID("a"), arrive(b, r, x, replayable), name)
+			assert.NotEqual(t, EndpointID("a"), arrive(b, r, x, retryable), name)
 			b.LegEnded(x, 0, Succeeded, 50, true)
 		}
 	}
@@ -1075,7 +1075,7 @@
 		for range 2 * int(b.fallWindow/b.upkeepInterval) * int(firstLegFallWindows) {
 			runUpkeep(b, 1)
 			x := ExchangeID(fmt.Sprint(b.now))
-			if arrive(b, r, x, replayable) == "a" {
+			if arrive(b, r, x, retryable) == "a" {
 				n++
 			}
 			b.LegEnded(x, 0, Succeeded, 50, true)
@@ -1125,7 +1125,7 @@
 			for n := range 40 { // half of what ten endpoints of two slots can do
 				rng = rng*6364136223846793005 + 1442695040888963407
 				s, x := sidecars[int(rng>>33)%fleet], ExchangeID(fmt.Sprint(n, b.now))
-				s.Arrive(x, replayable, -1, 0, s.now+4000, 0, false)
+				s.Arrive(x, retryable, -1, 0, s.now+4000, 0, false)
 				if sentTo(s.recorder) == "a" {
 					legTimes = append(legTimes, s.now)
 				}
@@ -1154,7 +1154,7 @@
 func TestOperatorDrainStopsHedgesRetriesAndQueuedLegs(t *testing.T) {
 	b, r := newTestBalancer("ab")
 	serve(b, r, 40, 50)
-	to := arrive(b, r, "x", replayable)
+	to := arrive(b, r, "x", retryable)
 	other := map[EndpointID]EndpointID{"a": "b", "b": "a"}[to]
 	b.Drain(other)
 	b.TimerFired(TimerID(b.exchanges["x"].slot)<<40 | TimerID(b.exchanges["x"].generation)<<8 | TimerID(hedgeDue)<<4 | 2)
@@ -1163,7 +1163,7 @@
 	assert.NotEqual(t, other, sentTo(r), "further leg")
 	b.Drain(to)
 	r.take()
-	b.Arrive("y", replayable, -1, 0, b.now+4000, 0, false)
+	b.Arrive("y", retryable, -1, 0, b.now+4000, 0, false)
 	assert.Equal(t, []string{"dismiss y"}, r.take("send", "dismiss"), "the only ones left are out: told at once")
 }
 
@@ -1172,7 +1172,7 @@
 	b, r := newTestBalancer("ab")
 	serve(b, r, 40, 50)
 	r.take()
-	b.Arrive("up", replayable, -1, 0, b.now+4000, 0, true)
+	b.Arrive("up", retryable, -1, 0, b.now+4000, 0, true)
 	to := sentTo(r)
 	assert.Zero(t, b.legsInFlight+b.byID[to].legs)
 	lost, longTerm := b.lossShare, b.lossShareLong
@@ -1201,16 +1201,16 @@
 }
 
 // What can't be sent again gets no further leg, though it never ran; what still can gets one.
-func TestSpentRequestGetsNoFurtherLeg(t *testing.T) {
-	for _, spent := range []bool{false, true} {
+func TestNoFurtherLegAfterBodyDiscarded(t *testing.T) {
+	for _, discarded := range []bool{false, true} {
 		b, r := newTestBalancer("ab")
 		r.take()
 		b.Arrive("x", singleUse, -1, 0, b.now+4000, 0, true)
-		if sentTo(r); spent {
+		if sentTo(r); discarded {
 			b.BodyDiscarded("x")
 		}
 		b.LegEnded("x", 0, NoConnection, 0, false)
-		if spent {
+		if discarded {
 			assert.Equal(t, []string{"dismiss x"}, r.take("send", "dismiss", "forfeit"), "harmless: it never ran")
 		} else {
 			assert.NotEmpty(t, sentTo(r))
@@ -1249,7 +1249,7 @@
 	further := 0
 	for n := range 10 {
 		x := ExchangeID(fmt.Sprint(n))
-		arrive(b, r, x, replayable)
+		arrive(b, r, x, retryable)
 		for leg := LegNo(0); b.exchanges[x] != nil && b.exchanges[x].legsInFlight > 0; leg++ {
 			b.LegEnded(x, leg, Errored, 10, false)
 			further += len(r.take("send"))
@@ -1277,7 +1277,7 @@
 	b, r := newTestBalancer("abcdefgh")
 	b.canProbe, b.maxProbes, b.reportTests, b.freshShare = true, 3, reportAgeTests, 1
 	r.take()
-	b.Arrive("x", replayable, -1, 0, b.now+4000, 0, false)
+	b.Arrive("x", retryable, -1, 0, b.now+4000, 0, false)
 	probed := r.take("probe")
 	for n := range probed {
 		probed[n] = strings.TrimPrefix(probed[n], "probe ")
@@ -1322,7 +1322,7 @@
 	assert.Equal(t, EndpointID(probed[1]), sentTo(r), "it can do a tenth of the others' work")
 
 	b, _ = newTestBalancer("ab")
-	e, x := b.byID["a"], &exchange{product: &b.products[replayable], deadline: b.now + 1000}
+	e, x := b.byID["a"], &exchange{product: &b.products[retryable], deadline: b.now + 1000}
 	x.product.typicalLatency = 0.8 * b.typicalLatency
 	e.readyAt = b.now
 	for tokens, want := range map[float64]bool{0.85: false, 1: true} {
@@ -1369,7 +1369,7 @@
 
 // Guards against keys that wait for something of their own (a lock, clients that read slowly) and brought down the
 // endpoints they were met at, and the shares by which all others are let in.
-func TestBlockedKeysBlameNoEndpoint(t *testing.T) {
+func TestBlockedKeysDoNotMakeEndpointsSuspect(t *testing.T) {
 	b, r := newTestBalancer("abcdefgh")
 	b.warmKeys = true
 	shedCount := 0
@@ -1395,7 +1395,7 @@
 	b, r := newTestBalancer("abcdefgh")
 	b.answerBuffers = 2
 	for n := range 3 {
-		b.Arrive(ExchangeID(fmt.Sprint(n)), replayable, -1, KeyID(n+1), b.now+40000, 0, false)
+		b.Arrive(ExchangeID(fmt.Sprint(n)), retryable, -1, KeyID(n+1), b.now+40000, 0, false)
 		b.SetNow(b.now + 1)
 	}
 	r.take()
@@ -1408,7 +1408,7 @@
 func TestQueuedExchangeHoldsNoBuffer(t *testing.T) {
 	b, _ := newTestBalancer("abcdefgh")
 	b.answerBuffers = 2
-	b.Arrive("x", replayable, -1, 5, b.now+40000, 0, false)
+	b.Arrive("x", retryable, -1, 5, b.now+40000, 0, false)
 	runUpkeep(b, 8)
 	x := b.exchanges["x"]
 	assert.True(t, x.overdue)
@@ -1473,7 +1473,7 @@
 		b.crossZoneFactor, b.outcomesByZone[0], b.outcomesByZone[1] = 0.02, home, other
 		for i := range 400 {
 			x := ExchangeID(fmt.Sprint(i))
-			if arrive(b, r, x, replayable) == "b" {
+			if arrive(b, r, x, retryable) == "b" {
 				n++
 			}
 			b.LegEnded(x, 0, Cancelled, 0, true)
@@ -1497,7 +1497,7 @@
 	b.latencySum, b.workSum = 100, 1
 	b.canProbe, b.maxProbes, b.reportTests, b.freshShare, b.crossZoneFactor = true, 2, reportAgeTests, 1, 0.001
 	r.take()
-	b.Arrive("x", replayable, -1, 0, b.now+4000, 0, false)
+	b.Arrive("x", retryable, -1, 0, b.now+4000, 0, false)
 	homeProbes := r.take("probe")
 	for _, l := range homeProbes {
 		b.Probed(EndpointID(l[6:]), true, Load{Held: 500})
@@ -1533,7 +1533,7 @@
 		rng := uint64(3)
 		runExchange := func(n int) (to EndpointID) {
 			x := ExchangeID(fmt.Sprint(n))
-			if to = arrive(b, r, x, replayable); to == "" {
+			if to = arrive(b, r, x, retryable); to == "" {
 				b.ClientLeft(x)
 				return to
 			}
@@ -1550,7 +1550,7 @@
 		for n := range 200 { // with much time for each it is seen how long the ways are
 			runExchange(n)
 		}
-		b.products[replayable].Expected, b.products[replayable].Abandon = c.expected, c.expected
+		b.products[retryable].Expected, b.products[retryable].Abandon = c.expected, c.expected
 		for _, name := range "abcd" {
 			if c.homeGone {
 				b.Listed(EndpointID(name), Gone, 0, 0, 0, 1, 0)
--- a/logic/placement_test.go
+++ b/logic/placement_test.go
@@ -9,21 +9,21 @@
 
 // placed starts an instance before eight endpoints of two zones and two kinds of machine, with products bound to a zone, to a
 // kind, to both, to a zone that no endpoint has, to nothing, and one that may go anywhere.
-func newPlacementBalancer(change func(*Terms)) (*Balancer, *recorder) {
+func newPlacementBalancer(configure func(*Terms)) (*Balancer, *recorder) {
 	r := &recorder{}
 	p := Product{Effect: Retryable, Expected: 1000, Abandon: 4000, Value: 1, OverdueShare: 0.5}
 	terms := Terms{Seed: 7, Fleet: 20, MaxLegs: 3, MayHedge: true, MayCancel: true, PullList: true, AskWithin: 10000,
 		ColdPeriod: 10000, FallWindow: 1000, ColdFrom: 0.1, FallMultiple: 3, TimerTick: 5}
-	for _, bounds := range []struct {
+	for _, constraint := range []struct {
 		zones []ZoneID
 		kinds []KindID
 	}{{[]ZoneID{0}, nil}, {nil, []KindID{1}}, {[]ZoneID{1}, []KindID{0}}, {[]ZoneID{9}, nil}, {[]ZoneID{}, nil}, {nil, nil}} {
-		p.RunsIn, p.AllowedOn = bounds.zones, bounds.kinds
+		p.RunsIn, p.AllowedOn = constraint.zones, constraint.kinds
 		terms.Products = append(terms.Products, p)
 	}
 	terms.Products[0].Effect, terms.Products[0].Group, terms.Products[0].DedupMemory = Deduplicated, OneCell, 3000
-	if change != nil {
-		change(&terms)
+	if configure != nil {
+		configure(&terms)
 	}
 	b := New(terms, r, 1000)
 	b.ListStarts()
@@ -37,7 +37,7 @@
 // Whatever comes together, no leg of a product leaves for a place or kind that is not open to it, be it the first, a copy, a
 // further one, or one that waited: endpoints fail, fill up, drain, start cold, go out by hand and change their zone and kind.
 func TestLegsKeepPlacementConstraints(t *testing.T) {
-	for name, change := range map[string]func(*Terms){
+	for name, configure := range map[string]func(*Terms){
 		"plain": nil, "keys": func(t *Terms) { t.WarmKeys = true },
 		"asked":               func(t *Terms) { t.MayProbe, t.ReportsLoad = true, true },
 		"a sidecar elsewhere": func(t *Terms) { t.Zone, t.CrossZonePrice = 1, 0.03 },
@@ -45,7 +45,7 @@
 	} {
 		sent := [6]int{}
 		for seed := range uint64(6) {
-			b, r := newPlacementBalancer(change)
+			b, r := newPlacementBalancer(configure)
 			b.rng ^= seed * 0x9e3779b97f4a7c15
 			zone, kind := map[string]ZoneID{}, map[string]KindID{}
 			for n, name := range "abcdefgh" {
@@ -84,32 +84,32 @@
 			for step := range 4000 {
 				b.SetNow(b.now + Millis(20*b.random()))
 				id := string("abcdefgh"[int(b.random()*8)])
-				switch what := b.random(); {
-				case what < 0.5:
+				switch action := b.random(); {
+				case action < 0.5:
 					x, p := ExchangeID(fmt.Sprint("x", step)), int(b.random()*6)
 					products[x] = p
 					b.Arrive(x, ProductID(p), -1, KeyID(1+step%5), b.now+4000, 0, false)
-				case what < 0.85 && len(inFlight) > 0:
+				case action < 0.85 && len(inFlight) > 0:
 					n := int(b.random() * float64(len(inFlight)))
 					l := inFlight[n]
 					inFlight = append(inFlight[:n], inFlight[n+1:]...)
 					outcome := []Outcome{Succeeded, Succeeded, Errored, Full, TimedOut, Reset, NoConnection}[int(b.random()*7)]
 					b.LegEnded(l.id, l.leg, outcome, Millis(100*b.random()), outcome == Succeeded)
-				case what < 0.88:
+				case action < 0.88:
 					zone[id], kind[id] = ZoneID(b.random()*2), KindID(b.random()*2)
 					b.Listed(EndpointID(id), Running, zone[id], kind[id], 0, 1, 0)
 					b.ListEnds(false)
-				case what < 0.9:
+				case action < 0.9:
 					b.Listed(EndpointID(id), NotRunning, zone[id], kind[id], 0, 1, 0)
 					b.ListEnds(false)
-				case what < 0.91:
+				case action < 0.91:
 					b.Listed(EndpointID(id), Running, zone[id], kind[id], 0, 1, b.now)
 					b.ListEnds(false)
-				case what < 0.92:
+				case action < 0.92:
 					b.Drain(EndpointID(id))
-				case what < 0.94:
+				case action < 0.94:
 					b.Undrain(EndpointID(id))
-				case what < 0.97:
+				case action < 0.97:
 					answered := probed
 					probed = nil
 					for _, to := range answered {
--- a/logic/pool_test.go
+++ b/logic/pool_test.go
@@ -9,10 +9,10 @@
 )
 
 // beginPool starts sidecar me of a pool before so many endpoints.
-func newPoolBalancer(me, fleet, endpoints int) (*Balancer, *recorder) {
+func newPoolBalancer(sidecar, fleet, endpoints int) (*Balancer, *recorder) {
 	r := &recorder{}
 	b := New(Terms{
-		Seed: uint64(me + 1), Fleet: fleet, SidecarNumber: PeerID(me), Peers: true, MaxLegs: 3, MayHedge: true, MayCancel: true,
+		Seed: uint64(sidecar + 1), Fleet: fleet, SidecarNumber: PeerID(sidecar), Peers: true, MaxLegs: 3, MayHedge: true, MayCancel: true,
 		Products:   []Product{{Effect: Retryable, Expected: 1000, Abandon: 4000, Value: 1}},
 		ColdPeriod: 10000, FallWindow: 1000, ColdFrom: 0.1, FallMultiple: 3, TimerTick: 5,
 	}, r, 1000)
@@ -29,8 +29,8 @@
 func TestPoolLimitsSidecarsPerEndpoint(t *testing.T) {
 	used := map[EndpointID]int{}
 	least := math.MaxInt
-	for me := range 400 {
-		b, _ := newPoolBalancer(me, 400, 200)
+	for sidecar := range 400 {
+		b, _ := newPoolBalancer(sidecar, 400, 200)
 		for _, e := range b.ready {
 			used[e.id]++
 		}
@@ -80,9 +80,9 @@
 
 // Messages get lost, come late, twice or spoilt: none of it may leave a load that nobody has.
 func TestPeerMessagesTolerateLossAndCorruption(t *testing.T) {
-	mark := wireIDOf("e0")
+	wireID := wireIDOf("e0")
 	message := func(seq, work byte) []byte {
-		return []byte{byte(mark >> 8), byte(mark), seq, work, 0, 0, 0, 0, 0, 0, 0}
+		return []byte{byte(wireID >> 8), byte(wireID), seq, work, 0, 0, 0, 0, 0, 0, 0}
 	}
 	for _, c := range []struct {
 		name     string
@@ -100,7 +100,7 @@
 		{"empty", 1, [][]byte{nil}, 0},
 		{"an endpoint nobody named", 1, [][]byte{{0, 0, 1, 4, 0, 0, 0, 0, 0, 0, 0}}, 0},
 		{"from ourselves", 0, [][]byte{message(1, 4)}, 0},
-		{"an outcome that is none", 1, [][]byte{{byte(mark >> 8), byte(mark), 1, 4, 9, 0, 0, 0, 0, 0, 0}}, 0},
+		{"an outcome that is none", 1, [][]byte{{byte(wireID >> 8), byte(wireID), 1, 4, 9, 0, 0, 0, 0, 0, 0}}, 0},
 		{"from below", -1, [][]byte{message(1, 4)}, 0},
 	} {
 		b, _ := newPoolBalancer(0, 2, 2)
@@ -137,15 +137,15 @@
 	} {
 		b, r := newPoolBalancer(0, 2, 1)
 		serveWithCost(b, 200, c.took, 0)
-		out := 0
+		sent := 0
 		for n := range 12 {
 			if arrive(b, r, ExchangeID(fmt.Sprint(n)), 0) != "" {
-				out++
+				sent++
 			}
 		}
-		assert.LessOrEqual(t, out, c.most+1, c.name)
-		assert.GreaterOrEqual(t, out, c.most-1, c.name)
-		assert.GreaterOrEqual(t, out, 1, c.name)
+		assert.LessOrEqual(t, sent, c.most+1, c.name)
+		assert.GreaterOrEqual(t, sent, c.most-1, c.name)
+		assert.GreaterOrEqual(t, sent, 1, c.name)
 	}
 }
 
@@ -163,9 +163,9 @@
 // A leg told with next to no work ahead made the time alone infinite, then no number, and everything had room.
 func TestLegsOfTinyWorkKeepLatenciesFinite(t *testing.T) {
 	b, r := newPoolBalancer(0, 2, 2)
-	mark := wireIDOf("e0")
+	wireID := wireIDOf("e0")
 	for seq := range 200 {
-		b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), byte(seq), 0, byte(Succeeded), 0, 0, 1, 0, 0, 0})
+		b.PeerMessage(1, []byte{byte(wireID >> 8), byte(wireID), byte(seq), 0, byte(Succeeded), 0, 0, 1, 0, 0, 0})
 		serveWithCost(b, 1, 50, 0.001)
 		serveWithCost(b, 1, 50, 100)
 	}
@@ -173,13 +173,13 @@
 	for _, f := range []float64{b.unloadedLatency, e.latencySum, e.workSum, e.latencySum / e.workSum, b.unitCapacity, b.typicalLatency} {
 		assert.False(t, math.IsNaN(f) || math.IsInf(f, 0) || f <= 0, f)
 	}
-	out := 0
+	sent := 0
 	for n := range 50 {
 		if arrive(b, r, ExchangeID(fmt.Sprint("n", n)), 0) != "" {
-			out++
+			sent++
 		}
 	}
-	assert.Less(t, out, 50, "not everything has room")
+	assert.Less(t, sent, 50, "not everything has room")
 }
 
 // A heavy exchange is no slow endpoint, and what is heavy weighs in the account of the others.
@@ -213,18 +213,18 @@
 	b.Listed("e9", Running, 0, 0, 0, 1, b.now)
 	b.ListEnds(false)
 	e := b.byID["e9"]
-	mark := e.wireID
+	wireID := e.wireID
 	if b.subsetOrder(e) > 0 {
 		t.Fatal("two sidecars share all there is")
 	}
 	before := e.coldTokens
-	b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), 0, 4, byte(Unknown), 0, 4, 0, 0, 4, 0})
+	b.PeerMessage(1, []byte{byte(wireID >> 8), byte(wireID), 0, 4, byte(Unknown), 0, 4, 0, 0, 4, 0})
 	assertClose(t, before-1, e.coldTokens)
 	start := b.now
 	sent, reported := 0, 0
 	for n := 0; b.now < start+1000; n++ {
 		if n%2 == 0 && b.maySend(&exchange{product: &b.products[0], work: 1, deadline: b.now + 1000}, e) {
-			b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), byte(reported + 1), 4, byte(Unknown), 0, 4, 0, 0, 4, 0})
+			b.PeerMessage(1, []byte{byte(wireID >> 8), byte(wireID), byte(reported + 1), 4, byte(Unknown), 0, 4, 0, 0, 4, 0})
 			reported++
 		}
 		b.byID["e0"].weight = 0.001
@@ -260,14 +260,14 @@
 func TestTenantSharesCountExchangesOfPeers(t *testing.T) {
 	b, _ := newPoolBalancer(0, 2, 2)
 	b.tenantShares, b.admitted, b.overShareValue = []float64{0.5, 0.5}, make([]float64, 2), 0.05
-	mark := wireIDOf("e0")
+	wireID := wireIDOf("e0")
 	x := &exchange{product: &b.products[0], tenant: 1}
 	within := b.rank(x)
 	for seq := range 20 {
-		b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), byte(seq + 1), 4, byte(Unknown), 0, 4, 0, 0, 4, 2})
+		b.PeerMessage(1, []byte{byte(wireID >> 8), byte(wireID), byte(seq + 1), 4, byte(Unknown), 0, 4, 0, 0, 4, 2})
 	}
 	assertClose(t, within*0.05, b.rank(x))
-	b.PeerMessage(1, []byte{byte(mark >> 8), byte(mark), 30, 4, byte(Unknown), 0, 4, 0, 0, 4, 200}) // a tenant that is none
+	b.PeerMessage(1, []byte{byte(wireID >> 8), byte(wireID), 30, 4, byte(Unknown), 0, 4, 0, 0, 4, 200}) // a tenant that is none
 	assertClose(t, 20, b.admittedTotal)
 }
 
@@ -277,34 +277,34 @@
 	const fleet, took = 40, Millis(50)
 	for _, lostOneIn := range []int{0, 4, 2} { // one in so many
 		pool, recorders := make([]*Balancer, fleet), make([]*recorder, fleet)
-		for me := range pool {
-			pool[me], recorders[me] = newPoolBalancer(me, fleet, 1)
-			serveWithCost(pool[me], 200, took, 0)
-			pool[me].Listed("cold", Running, 0, 0, 0, 1, pool[me].now)
-			pool[me].ListEnds(false)
-			recorders[me].take()
+		for sidecar := range pool {
+			pool[sidecar], recorders[sidecar] = newPoolBalancer(sidecar, fleet, 1)
+			serveWithCost(pool[sidecar], 200, took, 0)
+			pool[sidecar].Listed("cold", Running, 0, 0, 0, 1, pool[sidecar].now)
+			pool[sidecar].ListEnds(false)
+			recorders[sidecar].take()
 		}
 		start, messages := pool[0].now, 0
 		sent := []Millis{}
 		ends := map[Millis][]func(){}
 		busyUntil := map[EndpointID]Millis{}
-		deliver := func(me int) {
-			for _, l := range recorders[me].take("tell", "send") {
+		deliver := func(sidecar int) {
+			for _, l := range recorders[sidecar].take("tell", "send") {
 				var to int
 				var text []byte
 				if n, _ := fmt.Sscanf(l, "tell %d %x", &to, &text); n == 2 {
 					if messages++; lostOneIn == 0 || messages*7919%1000 >= 1000/lostOneIn {
-						pool[to].SetNow(pool[me].now)
-						pool[to].PeerMessage(PeerID(me), text)
+						pool[to].SetNow(pool[sidecar].now)
+						pool[to].PeerMessage(PeerID(sidecar), text)
 					}
 				} else if l[len(l)-4:] == "cold" {
-					sent = append(sent, pool[me].now)
+					sent = append(sent, pool[sidecar].now)
 				}
 			}
 		}
 		for n := Millis(0); n < 6000; n += 10 {
-			me := int(n/10) % fleet
-			b, now := pool[me], start+n
+			sidecar := int(n/10) % fleet
+			b, now := pool[sidecar], start+n
 			for _, end := range ends[now] {
 				end()
 			}
@@ -328,12 +328,12 @@
 				ends[end] = append(ends[end], func() {
 					b.SetNow(end)
 					b.LegEnded(x, 0, Succeeded, end-now, true)
-					deliver(me)
+					deliver(sidecar)
 				})
 			} else if b.exchanges[x] != nil {
 				b.ClientLeft(x)
 			}
-			deliver(me)
+			deliver(sidecar)
 		}
 		assert.Greater(t, len(sent), 5)
 		for i, from := range sent { // in any window of the fall time; cold from 0.1 of 20 a second on
