--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// idle takes what the module asks for, and does nothing.
+// stubOutgoing is an Outgoing that only keeps the endpoint of the last leg.
 type stubOutgoing struct{ target EndpointID }
 
 func (s *stubOutgoing) Send(_ ExchangeID, to EndpointID, _ Millis) { s.target = to }
@@ -18,7 +18,8 @@
 func (s *stubOutgoing) Probe(EndpointID)                           {}
 func (s *stubOutgoing) Note(string)                                {}
 
-// BenchmarkExchange is one exchange that arrives, is answered after 10 ms and ends, a hundred a second, with the upkeep of its time.
+// BenchmarkExchange measures one exchange that arrives and ends with an answer after 10 ms, at a hundred exchanges a
+// second, including the upkeep that is due in that time.
 func BenchmarkExchange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -8,22 +8,22 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// record keeps what an instance asked for, one short line each.
+// recorder is an Outgoing that records each call of the Balancer as one line of text.
 type recorder struct{ lines []string }
 
 func (r *recorder) add(f string, a ...any) { r.lines = append(r.lines, fmt.Sprintf(f, a...)) }
 
 func (r *recorder) Send(x ExchangeID, to EndpointID, _ Millis) { r.add("send %s %s", x, to) }
 func (r *recorder) Cancel(x ExchangeID, n LegNo)               { r.add("cancel %s %d", x, n) }
-func (r *recorder) Shed(x ExchangeID, _ Reason, _ Millis)      { r.add("dismiss %s", x) }
-func (r *recorder) Fail(x ExchangeID, _ Reason)                { r.add("forfeit %s", x) }
-func (r *recorder) SetTimer(after Millis, t TimerID)           { r.add("wake %d %.4f", t, after) }
-func (r *recorder) NotifyPeer(to PeerID, text []byte)          { r.add("tell %d %x", to, text) }
+func (r *recorder) Shed(x ExchangeID, _ Reason, _ Millis)      { r.add("shed %s", x) }
+func (r *recorder) Fail(x ExchangeID, _ Reason)                { r.add("fail %s", x) }
+func (r *recorder) SetTimer(after Millis, t TimerID)           { r.add("timer %d %.4f", t, after) }
+func (r *recorder) NotifyPeer(to PeerID, text []byte)          { r.add("notify %d %x", to, text) }
 func (r *recorder) Probe(e EndpointID)                         { r.add("probe %s", e) }
 func (r *recorder) Watch()                                     { r.add("watch") }
 func (r *recorder) Note(line string)                           { r.add("note %s", line) }
 
-// take returns the lines that start with one of the words, and forgets all.
+// take returns the recorded lines that start with one of the prefixes, and discards all recorded lines.
 func (r *recorder) take(prefixes ...string) []string {
 	matched := []string{}
 	for _, l := range r.lines {
@@ -37,9 +37,15 @@
 	return matched
 }
 
-const retryable, deduplicated, singleUse, globallyDeduplicated = ProductID(0), ProductID(1), ProductID(2), ProductID(3)
+// The products of newTestBalancer, named by their effects.
+const (
+	retryable            = ProductID(0)
+	deduplicated         = ProductID(1) // repeats are dropped within one cell only
+	singleUse            = ProductID(2)
+	globallyDeduplicated = ProductID(3) // repeats are dropped by all endpoints
+)
 
-// begin starts an instance with one endpoint for each letter of names, two to a cell.
+// newTestBalancer starts a Balancer with one endpoint for each letter of names, two endpoints to a cell.
 func newTestBalancer(names string) (*Balancer, *recorder) {
 	r := &recorder{}
 	base := Product{Expected: 1000, Abandon: 4000, Value: 1, OverdueShare: 0.5, DedupMemory: 1000}
@@ -58,13 +64,14 @@
 	return b, r
 }
 
-// arrive hands in an exchange and returns where its leg went, "" if nowhere.
+// arrive hands an exchange to the Balancer and returns the endpoint of its leg, or "" if none was sent.
 func arrive(b *Balancer, r *recorder, x ExchangeID, p ProductID) EndpointID {
 	r.take()
 	b.Arrive(x, p, -1, 0, b.now+4000, 0, false)
 	return sentTo(r)
 }
 
+// sentTo returns the endpoint of the first recorded leg, or "" if there is none, and discards all recorded lines.
 func sentTo(r *recorder) EndpointID {
 	if got := r.take("send"); len(got) > 0 {
 		return EndpointID(got[0][strings.LastIndex(got[0], " ")+1:])
@@ -72,7 +79,7 @@
 	return ""
 }
 
-// serve passes n exchanges that are answered in took; extra room keeps them out of the queue.
+// serve runs n exchanges one after the other, so that none has to wait in the queue. Each is answered after took.
 func serve(b *Balancer, r *recorder, n int, took Millis) {
 	for i := range n {
 		x := ExchangeID(fmt.Sprintf("s%d-%d", b.latencyCount, i))
@@ -83,7 +90,7 @@
 	r.take()
 }
 
-// beats lets so many pulses pass.
+// runUpkeep lets n upkeep intervals pass.
 func runUpkeep(b *Balancer, n int) {
 	for range n {
 		b.SetNow(b.now + b.upkeepInterval)
@@ -93,7 +100,8 @@
 
 func assertClose(t assert.TestingT, want, got float64) { assert.InDelta(t, want, got, 1e-9) }
 
-// about passes an exchange about a key, answered in took, and returns where it went, "" if nowhere.
+// serveWithKey runs exchange n with a key, answered in took, and returns the endpoint of its leg, or "" if none was
+// sent.
 func serveWithKey(b *Balancer, r *recorder, n int, key KeyID, took Millis) EndpointID {
 	x := ExchangeID(fmt.Sprint(n))
 	r.take()
@@ -103,7 +111,7 @@
 	return to
 }
 
-// eventQueue is virtual time: what happens later, in the order of its times.
+// eventQueue is a simulated clock that runs scheduled functions in the order of their times.
 type eventQueue struct {
 	now    Millis
 	events eventHeap
@@ -112,7 +120,7 @@
 
 type scheduledEvent struct {
 	at  Millis
-	seq int
+	seq int // order of scheduling, which decides between events of the same time
 	run func()
 }
 
@@ -131,12 +139,13 @@
 	return x
 }
 
+// schedule runs a function once delay has passed.
 func (q *eventQueue) schedule(delay Millis, run func()) {
 	q.seq++
 	heap.Push(&q.events, scheduledEvent{q.now + max(delay, 0), q.seq, run})
 }
 
-// playUntil lets happen what is due before a time.
+// runUntil runs the events that are due before end, and sets the clock to end.
 func (q *eventQueue) runUntil(end Millis) {
 	for len(q.events) > 0 && q.events[0].at < end {
 		e := heap.Pop(&q.events).(scheduledEvent)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -45,7 +45,7 @@
 func TestPickPrefersEndpointWithFewerLegs(t *testing.T) {
 	b, r := newTestBalancer("ab")
 	first := arrive(b, r, "x", singleUse)
-	assert.NotEqual(t, first, arrive(b, r, "y", singleUse), "the other has none in flight")
+	assert.NotEqual(t, first, arrive(b, r, "y", singleUse), "the other endpoint has no leg in flight")
 }
 
 func TestPickDrawsByWeight(t *testing.T) {
@@ -67,7 +67,7 @@
 		assert.Zero(t, b.hedgeDelay)
 		serve(b, r, 1, Millis(10*(n+1)))
 	}
-	assertClose(t, 190, float64(b.hedgeDelay)) // of 20, the last but one
+	assertClose(t, 190, float64(b.hedgeDelay)) // the last but one of 20 samples
 }
 
 func TestHedgeConditions(t *testing.T) {
@@ -79,10 +79,10 @@
 		hedges       int
 	}{
 		{"replayable", retryable, 0, 0, 1},
-		{"referenced, inside its cell", deduplicated, 0, 0, 1},
-		{"single-use never", singleUse, 0, 0, 0},
-		{"no room in the ratio", retryable, 0.1, 0, 0},
-		{"a slowdown shared by all", retryable, 0, 0.5, 0},
+		{"deduplicated, inside its cell", deduplicated, 0, 0, 1},
+		{"single-use", singleUse, 0, 0, 0},
+		{"hedge ratio at its limit", retryable, 0.1, 0, 0},
+		{"all endpoints slow", retryable, 0, 0.5, 0},
 	} {
 		b, r := newTestBalancer("abcd")
 		serve(b, r, 40, 50)
@@ -124,9 +124,9 @@
 		{retryable, Errored, true, noAnswer}, {retryable, TimedOut, true, noAnswer}, {retryable, NoConnection, true, noAnswer},
 		{deduplicated, Errored, true, noAnswer}, {deduplicated, Full, true, noAnswer}, {globallyDeduplicated, Reset, true, noAnswer},
 		{singleUse, NoConnection, true, noAnswer}, {singleUse, Full, true, noAnswer}, {singleUse, NotSent, true, noAnswer},
-		{singleUse, Errored, false, []string{"forfeit x"}}, {singleUse, TimedOut, false, []string{"forfeit x"}},
-		{singleUse, Unknown, false, []string{"forfeit x"}}, {singleUse, Cancelled, false, []string{"forfeit x"}},
-		{-1, Reset, false, []string{"forfeit x"}},
+		{singleUse, Errored, false, []string{"fail x"}}, {singleUse, TimedOut, false, []string{"fail x"}},
+		{singleUse, Unknown, false, []string{"fail x"}}, {singleUse, Cancelled, false, []string{"fail x"}},
+		{-1, Reset, false, []string{"fail x"}},
 	} {
 		b, r := newTestBalancer("abcd")
 		first := arrive(b, r, "x", c.product)
@@ -134,20 +134,20 @@
 		final := r.lines
 		to := sentTo(r)
 		assert.Equal(t, c.retried, to != "", "%v", c)
-		assert.Equal(t, c.final, (&recorder{lines: final}).take("dismiss", "forfeit"), "%v", c)
+		assert.Equal(t, c.final, (&recorder{lines: final}).take("shed", "fail"), "%v", c)
 		if c.product == deduplicated && c.outcome == Errored {
-			assert.Equal(t, b.byID[first].cell, b.byID[to].cell, "only its cell knows the mark")
+			assert.Equal(t, b.byID[first].cell, b.byID[to].cell, "only its cell drops repeats")
 		}
 	}
 }
 
 func TestNoFurtherLegWithoutRetryBudget(t *testing.T) {
-	for p, want := range map[ProductID]string{retryable: "dismiss x", deduplicated: "forfeit x", globallyDeduplicated: "dismiss x"} {
+	for p, want := range map[ProductID]string{retryable: "shed x", deduplicated: "fail x", globallyDeduplicated: "shed x"} {
 		b, r := newTestBalancer("abcd")
 		b.retryTokens = 0.5
 		arrive(b, r, "x", p)
 		b.LegEnded("x", 0, Errored, 10, false)
-		assert.Equal(t, []string{want}, r.take("send", "dismiss", "forfeit"))
+		assert.Equal(t, []string{want}, r.take("send", "shed", "fail"))
 	}
 }
 
@@ -174,16 +174,16 @@
 	}
 	b, r := newTestBalancer("")
 	arrive(b, r, "x", retryable)
-	assert.Empty(t, b.exchanges, "answered at once, nothing kept")
+	assert.Empty(t, b.exchanges, "answered at once, no exchange kept")
 	b.ListCallFailed()
-	assert.Len(t, r.take("wake 1 "), 1)
+	assert.Len(t, r.take("timer 1 "), 1)
 	b.TimerFired(1)
 	assert.Equal(t, []string{"watch"}, r.take("watch"))
 }
 
 func TestColdEndpointStaysWithinTokenBudget(t *testing.T) {
 	b, r := newTestBalancer("ab")
-	b.SetNow(1e6) // nothing was lost lately
+	b.SetNow(1e6) // no leg was lost recently
 	b.Listed("c", Running, 0, 0, 1, 1, b.now)
 	b.ListEnds(false)
 	coldLegs := 0
@@ -198,7 +198,8 @@
 			b.TimerFired(0)
 		}
 	}
-	// 2 s at 250 a second over three endpoints, at a little over a tenth of its capacity, times 1.2.
+	// 2 s at 250 exchanges a second over three endpoints; the cold one may take a little over a tenth of its capacity,
+	// times 1.2.
 	assert.Less(t, coldLegs, 50)
 	assert.Greater(t, coldLegs, 0)
 }
@@ -211,10 +212,10 @@
 	b.LegEnded("x", 0, Succeeded, 50, true)
 	arrive(b, r, "y", retryable)
 	slot := b.exchanges["y"].slot
-	assert.Equal(t, slot, int(stale>>40), "the place is used again")
+	assert.Equal(t, slot, int(stale>>40), "the slot is used again")
 	b.TimerFired(stale)
 	b.LegEnded("x", 0, Succeeded, 50, true)
-	assert.Empty(t, r.take("send", "cancel", "dismiss"))
+	assert.Empty(t, r.take("send", "cancel", "shed"))
 	assert.Equal(t, 1, b.legsInFlight)
 }
 
@@ -222,13 +223,13 @@
 	b, r := newTestBalancer("ab")
 	arrive(b, r, "x", retryable)
 	b.ClientLeft("x")
-	assert.Equal(t, []string{"cancel x 0"}, r.take("cancel", "forfeit", "dismiss"))
+	assert.Equal(t, []string{"cancel x 0"}, r.take("cancel", "fail", "shed"))
 	b.LegEnded("x", 0, Cancelled, 1, true)
 	assert.Empty(t, b.exchanges)
 	arrive(b, r, "y", singleUse)
 	b.SetNow(b.now + 4000)
 	b.LegEnded("y", 0, TimedOut, 4000, false)
-	assert.Equal(t, []string{"forfeit y"}, r.take("forfeit", "dismiss"))
+	assert.Equal(t, []string{"fail y"}, r.take("fail", "shed"))
 }
 
 func TestStreamedAnswerIsNeitherHedgedNorCancelled(t *testing.T) {
@@ -236,19 +237,20 @@
 	arrive(b, r, "x", retryable)
 	b.StreamBegan("x", 0)
 	b.TimerFired(TimerID(hedgeDue)<<4 | 2)
-	assert.Empty(t, r.take("send", "cancel", "dismiss", "forfeit"))
+	assert.Empty(t, r.take("send", "cancel", "shed", "fail"))
 	b.LegEnded("x", 0, Succeeded, 9000, true)
 	assert.Empty(t, b.exchanges)
 }
 
-// A hung endpoint must be left alone before its legs time out, and be found again later.
+// Guards against legs being sent to a hung endpoint until the first of them times out, and against such an endpoint
+// never being tried again.
 func TestHungEndpointIsAvoidedBeforeTimeout(t *testing.T) {
 	b, r := newTestBalancer("abc")
 	serve(b, r, 60, 50)
 	hung := arrive(b, r, "x", retryable)
 	runUpkeep(b, 5)
-	assert.True(t, b.exchanges["x"].legs[0].lost, "counted while it is still out")
-	b.hedgeRatio = 1 // no copies
+	assert.True(t, b.exchanges["x"].legs[0].lost, "counted as lost while it is still in flight")
+	b.hedgeRatio = 1 // prevents hedges
 	legsWhileHung := 0
 	for n := range 100 {
 		x := ExchangeID(fmt.Sprint(n))
@@ -272,7 +274,8 @@
 	assert.Greater(t, legsLater, 20)
 }
 
-// A light sidecar must not meet slow servers anew all day: it keeps to a few that answer in time.
+// Guards against a sidecar of little traffic that keeps sending to slow endpoints because it meets each too seldom to
+// remember it. It must keep to a few endpoints that answer in time.
 func TestLightSidecarKeepsToKnownGoodEndpoints(t *testing.T) {
 	b, r := newTestBalancer("abcdefghijklmnopqrstuvwxyz")
 	slow, legs := 0, 0
@@ -284,7 +287,7 @@
 			continue
 		}
 		took := Millis(60)
-		if legs++; to > "m" { // half of the servers
+		if legs++; to > "m" { // half of the endpoints
 			took, slow = 700, slow+1
 		}
 		b.SetNow(b.now + took)
@@ -292,20 +295,21 @@
 	}
 	assert.Greater(t, legs, 300)
 	assert.Less(t, slow, legs/6)
-	assert.Greater(t, slow, 0, "strange ones are tried now and then")
+	assert.Greater(t, slow, 0, "unproven endpoints are tried now and then")
 }
 
-// In a large fleet lost legs must shed exchanges, the less worthy first, and asking again at once must not help;
-// a shut sidecar, which hears nothing, must open again, and a small fleet leaves it to its rooms.
+// In a large fleet lost legs must lead to shedding, of the less valuable exchanges first, and an immediate retry must
+// not be admitted. A sidecar that sheds everything gets no more outcomes and must still admit again later. A small
+// fleet relies on its concurrency limits instead.
 func TestSheddingFollowsLossRate(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		fleet          float64
 		lost, longTerm float64
-		least          int // of 100 of each product
-		most           int
+		least          int // minimum admitted, of 100 exchanges of each product
+		most           int // maximum admitted
 	}{
-		{"well", 100, 0.1, 0.1, 200, 200}, {"two late ones in a row", 100, 0.45, 0.05, 80, 200},
+		{"few legs lost", 100, 0.1, 0.1, 200, 200}, {"two late legs in a row", 100, 0.45, 0.05, 80, 200},
 		{"overload", 100, 0.7, 0.5, 0, 20}, {"overload in a small fleet", 3, 0.7, 0.5, 200, 200},
 	} {
 		b, _ := newTestBalancer("abcd")
@@ -336,8 +340,9 @@
 	assertClose(t, 0, b.overload())
 }
 
-// lightSidecar sends 400 single-use exchanges, one each so many ms, as one of 300 before twelve endpoints; overdue is what a late answer keeps, leg says what becomes
-// of each. The last 300 that it dismissed are counted.
+// runLightSidecar hands in 400 single-use exchanges, one per interval, as one of 300 sidecars that use twelve
+// endpoints. overdue is the share of its value that a late answer keeps, and endLeg ends the leg of exchange n. It
+// returns how many of the last 300 exchanges were shed.
 func runLightSidecar(interval Millis, overdue float64, endLeg func(b *Balancer, x ExchangeID, n int)) (b *Balancer, shedCount int) {
 	b, r := newTestBalancer("abcdefghijkl")
 	b.minLimit, b.fleet, b.products[singleUse].OverdueShare = fleetMinLimit/300, 300, overdue
@@ -357,17 +362,19 @@
 	return b, shedCount
 }
 
-// Legs that are lost while answers come as fast as ever, to a cut, lost answers or work that varies much beside its time, are
-// no overload: dismissing saves none of them. Answers that all take longer are one, and so is an endpoint's word that it is
-// full. What an instance saw before it knew its products' best does not hold it back for ever.
+// Legs that are lost while answers come as fast as ever are no overload: a network cut, lost answers or work of a
+// duration that varies much cause them, and shedding saves none of them. Slower answers of all endpoints are an
+// overload, and so are endpoints that report to be full. What a Balancer observed before it knew the best latencies of
+// its products must not limit it for ever.
 func TestLostLegsWithoutSlowerAnswersAreNoOverload(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		slower      float64 // answers' time over that of the first part
-		lost, full  int     // legs of ten
-		least, most int     // dismissed of 300 in the second part
+		slower      float64 // latency of the last 300 exchanges over that of the first 100
+		lost        int     // legs of ten that time out
+		full        int     // legs of ten that are refused as full
+		least, most int     // shed, of the last 300 exchanges
 	}{
-		{"all well", 1, 0, 0, 0, 0}, {"a fifth lost", 1, 2, 0, 0, 15}, {"nearly all lost", 1, 8, 0, 150, 300},
+		{"no leg lost", 1, 0, 0, 0, 0}, {"a fifth lost", 1, 2, 0, 0, 15}, {"nearly all lost", 1, 8, 0, 150, 300},
 		{"slower, none lost", 2.5, 0, 0, 0, 0}, {"slower, a third lost", 2.5, 3, 0, 60, 300}, {"full, a third lost", 1, 1, 3, 60, 300},
 	} {
 		rng := uint64(1)
@@ -383,7 +390,7 @@
 			case draw < c.lost+c.full:
 				leg := LegNo(0)
 				for b.LegEnded(x, leg, Full, 1, false); sentTo(b.Outgoing.(*recorder)) != ""; b.LegEnded(x, leg, Full, 1, false) {
-					leg++ // full everywhere
+					leg++ // all endpoints are full
 				}
 				b.ClientLeft(x)
 				return
@@ -393,23 +400,23 @@
 			b.SetNow(b.now + Millis(took))
 			b.LegEnded(x, 0, Succeeded, Millis(took), true)
 		})
-		assert.True(t, shedCount >= c.least && shedCount <= c.most, "%s: %d dismissed, lost %.2f %.2f", c.name, shedCount, b.lossShare, b.lossShareLong)
+		assert.True(t, shedCount >= c.least && shedCount <= c.most, "%s: %d shed, loss shares %.2f %.2f", c.name, shedCount, b.lossShare, b.lossShareLong)
 	}
 }
 
-// Work that varies much is no overload: a sixth of exponential times lies beyond 1.8 times their mean, however idle all are.
-// Where each takes three times as long, it is one.
+// Work of high variance is no overload: a sixth of exponentially distributed latencies exceed 1.8 times their mean,
+// however idle the endpoints are. Three times the latency of all legs is an overload.
 func TestHighVarianceWorkIsNoOverload(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		slower      float64
-		least, most int     // dismissed of 300
-		lost        float64 // share of legs that counts as lost, in the mean, at the most
-	}{{"idle", 1, 0, 20, 0.06}, {"crowded", 3, 60, 300, 1}} {
+		least, most int     // shed, of the last 300 exchanges
+		lost        float64 // maximum of the mean share of legs that count as lost
+	}{{"idle", 1, 0, 20, 0.06}, {"overloaded", 3, 60, 300, 1}} {
 		rng, lossSum, legs := uint64(1), 0.0, 0.0
 		b, shedCount := runLightSidecar(1000, 0, func(b *Balancer, x ExchangeID, n int) {
 			rng = rng*6364136223846793005 + 1442695040888963407
-			took := -330 * math.Log(float64(rng>>33%1000)/1000+0.0005) // of the 1,000 that it has
+			took := -330 * math.Log(float64(rng>>33%1000)/1000+0.0005) // mean of 330 ms, of the 1,000 ms that each has
 			if n >= 100 {
 				took *= c.slower
 			}
@@ -423,12 +430,12 @@
 				lossSum, legs = lossSum+b.lossShare, legs+1
 			}
 		})
-		assert.True(t, shedCount >= c.least && shedCount <= c.most, "%s: %d dismissed, lost %.2f %.2f", c.name, shedCount, b.lossShare, b.lossShareLong)
+		assert.True(t, shedCount >= c.least && shedCount <= c.most, "%s: %d shed, loss shares %.2f %.2f", c.name, shedCount, b.lossShare, b.lossShareLong)
 		assert.LessOrEqual(t, lossSum/legs, c.lost, c.name)
 	}
 }
 
-// Quick failures must not draw traffic by their short queue.
+// Guards against an endpoint that attracts traffic because its quick failures leave it with few legs in flight.
 func TestFastErrorsDoNotAttractTraffic(t *testing.T) {
 	b, r := newTestBalancer("abc")
 	legs := 0
@@ -447,8 +454,8 @@
 	assert.Less(t, legs, 12)
 }
 
-// What a new process is asked before its first answer waits for room: how long answers take is not known yet. Where none
-// comes, each is given up while half of its time is left.
+// Exchanges that reach a new process before its first answer must be queued, not shed: how long answers take is not
+// known yet. If no answer comes, each is given up while half of its time is left.
 func TestNewProcessQueuesExchangesBeforeFirstAnswer(t *testing.T) {
 	for _, names := range []string{"a", "ab"} {
 		b, r := newTestBalancer(names)
@@ -457,10 +464,10 @@
 			b.Arrive(ExchangeID(fmt.Sprint(n)), retryable, -1, 0, b.now+4000, 0, false)
 		}
 		waits, before := []Millis{}, b.now
-		for _, line := range r.take("dismiss", "forfeit", "wake") {
+		for _, line := range r.take("shed", "fail", "timer") {
 			var id TimerID
 			var after Millis
-			if _, err := fmt.Sscanf(line, "wake %d %f", &id, &after); !assert.NoError(t, err, "%s, before any answer: %s", names, line) {
+			if _, err := fmt.Sscanf(line, "timer %d %f", &id, &after); !assert.NoError(t, err, "%s, before any answer: %s", names, line) {
 				break
 			}
 			if id&15 == 2 {
@@ -474,11 +481,12 @@
 		}
 		b.SetNow(before + 20)
 		b.LegEnded("0", 0, Succeeded, 20, true)
-		assert.Len(t, r.take("send"), 1, "%s: the room that an answer makes is used", names)
+		assert.Len(t, r.take("send"), 1, "%s: the capacity that an answer frees is used", names)
 	}
 }
 
-// Crowded endpoints must get less; what waits goes by value for work, beyond a share last.
+// An endpoint that answers late must get a lower concurrency limit. Queued exchanges must be sent in the order of value
+// for work, those of tenants beyond their share last.
 func TestConcurrencyLimitAndQueueOrder(t *testing.T) {
 	b, r := newTestBalancer("a")
 	a := b.byID["a"]
@@ -501,10 +509,10 @@
 	for n := range 50 {
 		arrive(b, r, ExchangeID(fmt.Sprint(n)), retryable)
 	}
-	assert.Less(t, len(b.queue), 10, "what is not likely to be answered in time is dismissed at once")
+	assert.Less(t, len(b.queue), 10, "exchanges that are not likely to be answered in time are shed at once")
 }
 
-// Work that takes long by itself must not narrow rooms as crowding does.
+// Work that takes long by itself must not lower concurrency limits as overload does.
 func TestLatenessThresholdFollowsBestLatency(t *testing.T) {
 	for _, c := range []struct {
 		best float64
@@ -522,7 +530,7 @@
 	}
 }
 
-// A large fleet must not hold a leg of each sidecar at each server, which crowds them all.
+// Guards against a large fleet in which every sidecar has a leg at every endpoint, which overloads them all.
 func TestConcurrencyLimitsInALargeFleet(t *testing.T) {
 	for fleet, most := range map[int]int{1: 5, 40: 4} {
 		b, r := newTestBalancer("abcd")
@@ -535,7 +543,7 @@
 				b.LegEnded(x, 0, Succeeded, 900, true)
 			}
 		}
-		b.lossShare, b.lossShareLong, b.shedUntil = 0, 0, 0 // rooms alone
+		b.lossShare, b.lossShareLong, b.shedUntil = 0, 0, 0 // only the concurrency limits count
 		for n := range 20 {
 			arrive(b, r, ExchangeID(fmt.Sprint("q", n)), singleUse)
 		}
@@ -544,7 +552,8 @@
 	}
 }
 
-// Rooms won in calm, a leg or two at each of many servers, must not let a burst in whole.
+// Guards against concurrency limits that grow while load is low, with a leg or two at each of many endpoints, and then
+// admit a whole burst.
 func TestUnusedConcurrencyLimitsDoNotGrow(t *testing.T) {
 	b, r := newTestBalancer("abcdefghijklmnopqrstuvwxyz")
 	b.minLimit = 0.04
@@ -555,11 +564,11 @@
 	for n := range 100 {
 		arrive(b, r, ExchangeID(fmt.Sprint(n)), singleUse)
 	}
-	assert.LessOrEqual(t, b.legsInFlight, 16, "what the fleet's size leaves, and up to three times more in calm")
+	assert.LessOrEqual(t, b.legsInFlight, 16, "the limits by the fleet's size, and up to three times more while few legs are lost")
 }
 
-// A server that is gone but still listed must be left after a few quick failures, whatever its record,
-// and must not take the overflow of full ones.
+// An endpoint that is gone but still listed must get no more legs after a few quick failures, whatever its earlier
+// successes, and must not get the overflow of full endpoints.
 func TestUnreachableEndpointGetsNoOverflow(t *testing.T) {
 	b, r := newTestBalancer("abc")
 	serve(b, r, 200, 50)
@@ -576,7 +585,7 @@
 	assert.True(t, b.byID["a"].suspect)
 }
 
-// A slowdown shared by all must eject none and stop the copies.
+// A slowdown shared by all endpoints must eject none of them. It must also stop hedges, see TestHedgeConditions.
 func TestSharedSlowdownEjectsNoEndpoint(t *testing.T) {
 	b, r := newTestBalancer("abcd")
 	for _, e := range b.ready {
@@ -594,7 +603,7 @@
 	assert.Len(t, used, 4)
 }
 
-// Machines that take longer must get less, by what they can do: their legs stay in flight.
+// Slower machines must get fewer legs, by their capacity: their legs stay in flight for longer.
 func TestSlowMachinesGetFewerLegs(t *testing.T) {
 	b, r := newTestBalancer("abcd")
 	got := map[EndpointID]int{}
@@ -615,7 +624,8 @@
 	assert.Greater(t, got["a"], 0)
 }
 
-// The own zone comes first; without room there, or cut off from it, the others carry the work.
+// The sidecar's own zone must be preferred. When its endpoints are at their limits or are not available, other zones
+// must take the legs.
 func TestOwnZoneIsPreferred(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -654,7 +664,7 @@
 	}
 }
 
-// Sidecars restarted together must not herd on one endpoint, nor ask the list service in step.
+// Sidecars that restart together must not all send to the same endpoint, nor call the list service at the same times.
 func TestRestartedSidecarsSpreadFirstLegsAndListCalls(t *testing.T) {
 	firstTargets, waits := map[EndpointID]int{}, map[string]bool{}
 	for seed := range uint64(40) {
@@ -663,19 +673,19 @@
 		firstTargets[arrive(b, r, "x", retryable)]++
 		before := b.listBackoff
 		b.ListCallFailed()
-		waits[r.take("wake 1 ")[0]] = true
+		waits[r.take("timer 1 ")[0]] = true
 		assert.Greater(t, b.listBackoff, before)
 		for range 9 {
 			b.ListCallFailed()
 		}
-		assert.LessOrEqual(t, 1.5*float64(b.listBackoff), 10000.0/2, "well inside ask-within")
+		assert.LessOrEqual(t, 1.5*float64(b.listBackoff), 10000.0/2, "well within ask-within")
 	}
 	assert.Len(t, firstTargets, 4)
 	assert.Len(t, waits, 40)
 }
 
-// However long a deployment lets its sidecars go without asking, and however many there are, no wait behind a failed call is
-// longer than its bound, and all of them don't ask in step.
+// Whatever ask-within a deployment sets, and whatever the size of its fleet, the back-off after a failed call must not
+// exceed its bound, and sidecars must not call at the same times.
 func TestListCallBackoffIsBounded(t *testing.T) {
 	for _, askWithin := range []Millis{100, 1000, 4000, 10000, 60000} {
 		for _, fleet := range []int{1, 5, 20, 30, 350, 1024} {
@@ -688,9 +698,9 @@
 						b.ListCallFailed()
 					}
 					unbounded := askWithin * Millis(1+fleetListBackoffRatio*(1-math.Min(fleetMinLimit/float64(fleet), 1))) * maxListBackoffRatio
-					for _, line := range r.take("wake 1 ") {
+					for _, line := range r.take("timer 1 ") {
 						var wait float64
-						_, err := fmt.Sscanf(line, "wake 1 %g", &wait)
+						_, err := fmt.Sscanf(line, "timer 1 %g", &wait)
 						require.NoError(t, err, line)
 						waits[line] = true
 						if bound > 0 {
@@ -699,7 +709,7 @@
 						assert.LessOrEqual(t, wait, 1.5*float64(unbounded)+1, "%v %d", askWithin, fleet)
 					}
 				}
-				assert.Greater(t, len(waits), 60, "spread")
+				assert.Greater(t, len(waits), 60, "waits differ between sidecars")
 			}
 		}
 	}
@@ -708,8 +718,8 @@
 func TestOrdinaryPathDoesNotAllocate(t *testing.T) {
 	for name, configure := range map[string]func(b *Balancer){
 		"plain": func(*Balancer) {}, "keys": func(b *Balancer) { b.warmKeys = true },
-		"a ration": func(b *Balancer) { b.legBudget = legBudget{free: 3, ratio: 0.1, window: 5000} },
-		"asked":    func(b *Balancer) { b.canProbe, b.maxProbes, b.reportTests, b.freshShare = true, 2, reportAgeTests, 1 },
+		"leg budget": func(b *Balancer) { b.legBudget = legBudget{free: 3, ratio: 0.1, window: 5000} },
+		"probing":    func(b *Balancer) { b.canProbe, b.maxProbes, b.reportTests, b.freshShare = true, 2, reportAgeTests, 1 },
 	} {
 		b, _ := newTestBalancer("abcd")
 		b.Outgoing = discardOutgoing{}
@@ -735,10 +745,11 @@
 			runExchange()
 		}
 		assert.Zero(t, testing.AllocsPerRun(200, runExchange), name)
-		assert.LessOrEqual(t, len(b.legBudget.exchanges.times), 111, "what has left the window is let go though nobody asks")
+		assert.LessOrEqual(t, len(b.legBudget.exchanges.times), 111, "what has left the window is removed although the budget is not queried")
 	}
 }
 
+// discardOutgoing is an Outgoing that ignores all calls.
 type discardOutgoing struct{}
 
 func (discardOutgoing) Send(ExchangeID, EndpointID, Millis) {}
@@ -751,7 +762,8 @@
 func (discardOutgoing) Probe(EndpointID)                    {}
 func (discardOutgoing) Note(string)                         {}
 
-// A product that fails at all endpoints alike must not shut them, one after the other, for the products that don't.
+// Guards against a product that fails at all endpoints alike and makes them suspect, one after the other, for the
+// products that succeed there.
 func TestProductFailingEverywhereEjectsNoEndpoint(t *testing.T) {
 	b, r := newTestBalancer("abcd")
 	for _, e := range b.endpoints {
@@ -764,7 +776,7 @@
 			b.LegEnded(x, 0, Reset, 5, false)
 			continue
 		}
-		assert.NotEmpty(t, arrive(b, r, x, globallyDeduplicated), "%s finds room", x)
+		assert.NotEmpty(t, arrive(b, r, x, globallyDeduplicated), "%s is sent", x)
 		b.LegEnded(x, 0, Succeeded, 5, true)
 		if n%15 == 1 {
 			runUpkeep(b, 1)
@@ -777,10 +789,11 @@
 	b.products[retryable].failingShare = 0.95
 	arrive(b, r, "last", retryable)
 	b.LegEnded("last", 0, Reset, 5, false)
-	assert.Empty(t, sentTo(r), "what fails everywhere leaves further legs to others")
+	assert.Empty(t, sentTo(r), "a product that fails everywhere leaves further legs to the others")
 }
 
-// A further leg goes elsewhere: who turned an exchange away at once has no legs out, and would be taken again.
+// Guards against a further leg to the endpoint that has just refused the exchange: it has no leg in flight, and would
+// be picked again for that.
 func TestFurtherLegGoesToAnotherEndpoint(t *testing.T) {
 	same := 0
 	for n := range 100 {
@@ -797,7 +810,8 @@
 	assert.Less(t, same, 10)
 }
 
-// What has left the list for good is let go once no leg is out; ids are ever new.
+// Guards against endpoints that are kept for ever after they left the list for good, since ids are always new. They
+// must be removed once they have no leg in flight.
 func TestGoneEndpointsAreRemovedAfterTheirLastLeg(t *testing.T) {
 	b, r := newTestBalancer("ab")
 	to := arrive(b, r, "x", retryable)
@@ -805,7 +819,7 @@
 		b.Listed(id, Gone, 0, 0, 0, 1, 0)
 	}
 	b.ListEnds(false)
-	assert.Len(t, b.endpoints, 1, "a leg is out")
+	assert.Len(t, b.endpoints, 1, "a leg is in flight")
 	assert.Empty(t, b.ready)
 	b.LegEnded("x", 0, Succeeded, 5, true)
 	for n := range 1000 {
@@ -820,8 +834,8 @@
 	assert.Nil(t, b.byID[to])
 }
 
-// An endpoint may hang on one product and serve the others well: it rests for that product alone, tried again by one leg at
-// a time, and not when nobody else serves it either.
+// An endpoint may hang on one product and serve the others well. The sidecar must back off for that product alone, and
+// try the endpoint again with one leg at a time. It must not back off when no other endpoint serves the product either.
 func TestEndpointBacksOffPerProduct(t *testing.T) {
 	b, r := newTestBalancer("ab")
 	ids := 0
@@ -849,15 +863,15 @@
 		arrive(b, r, "lost", globallyDeduplicated)
 	}
 	b.SetNow(b.now + 950)
-	b.TimerFired(0)                             // it is silent for too long,
-	b.LegEnded("lost", 0, Cancelled, 950, true) // and a copy elsewhere came first
+	b.TimerFired(0)                             // it is overdue
+	b.LegEnded("lost", 0, Cancelled, 950, true) // a hedge elsewhere was answered first
 	b.byID["a"].suspect = false
-	assert.Zero(t, legsByEndpoint(globallyDeduplicated, Succeeded)["a"], "at rest")
+	assert.Zero(t, legsByEndpoint(globallyDeduplicated, Succeeded)["a"], "backed off")
 	b.byID["a"].lostAt = 0
 	b.updateSelection()
-	assert.NotZero(t, legsByEndpoint(singleUse, Succeeded)["a"], "not for the others")
+	assert.NotZero(t, legsByEndpoint(singleUse, Succeeded)["a"], "not for other products")
 	b.byID["b"].backoffs[globallyDeduplicated] = backoff{failures: 2, retryAt: b.now + 1000}
-	assert.False(t, b.backsOff(&exchange{product: &b.products[globallyDeduplicated]}, b.byID["a"]), "nobody else serves it")
+	assert.False(t, b.backsOff(&exchange{product: &b.products[globallyDeduplicated]}, b.byID["a"]), "no other endpoint serves it")
 	b.byID["b"].backoffs[globallyDeduplicated] = backoff{}
 	b.byID["a"].backoffs[globallyDeduplicated] = backoff{failures: 2, retryAt: b.now}
 	trials := 0
@@ -866,11 +880,12 @@
 			trials++
 		}
 	}
-	assert.LessOrEqual(t, trials, 1, "one leg tries, the others wait for what becomes of it")
+	assert.LessOrEqual(t, trials, 1, "one leg is tried, the others await its outcome")
 }
 
-// A fleet with unequal servers and work of wide spread took one leg in six for lost and dismissed half of all exchanges
-// with its endpoints idle, though late answers kept part of their value.
+// Guards against legs that count as lost although their late answers keep part of their value. A fleet with unequal
+// endpoints and work of high variance took one leg in six for lost, and shed half of all exchanges while its endpoints
+// were idle.
 func TestLossThresholdFollowsOverdueValue(t *testing.T) {
 	for _, c := range []struct {
 		overdue float64
@@ -889,8 +904,9 @@
 	}
 }
 
-// Six in ten endpoints were replaced, and the new ones stood idle with all their tokens while the few familiar ones that
-// were left were overloaded: what is cold is strange too, and was drawn for one leg in a thousand.
+// Guards against cold endpoints that get hardly any legs because they are unproven too. After six in ten endpoints had
+// been replaced, the new ones were drawn for one leg in a thousand: they stayed idle with all their tokens, while the
+// few known-good ones that were left were overloaded.
 func TestUnprovenColdEndpointsAreDrawn(t *testing.T) {
 	b, r := newTestBalancer("abcdefghij")
 	b.SetNow(1e6)
@@ -925,9 +941,10 @@
 	assert.Less(t, unproven, 10)
 }
 
-// Hundreds of light sidecars each kept to whoever had answered them lately: sets by accident, a few endpoints in many of
-// them and a few in none, and the fleet spread worse than chance. Places of their own add up; a bad one is left at once, and
-// in trouble only who answered lately counts.
+// Guards against load that is spread worse than at random. Hundreds of sidecars of little traffic each kept to the
+// endpoints that had answered them recently: these were random sets, with a few endpoints in many of them and a few in
+// none. Home subsets must cover the endpoints evenly. A failing endpoint must leave its subset at once, and while legs
+// are lost only endpoints that answered recently count.
 func TestHomeSubsetsCoverEndpointsEvenly(t *testing.T) {
 	const fleet, endpoints, subsetSize = 300, 100, 4
 	sidecarsByEndpoint := map[EndpointID]int{}
@@ -960,43 +977,44 @@
 			}
 		}
 		assert.GreaterOrEqual(t, kept, subsetSize-1)
-		// A bad one is left at once; the next good one on the ring takes its place.
+		// An endpoint that failed leaves the subset at once; the next healthy one on the ring takes its position.
 		failed := subset[0]
 		failed.lostAt, failed.inTimeAt = b.now, b.now-1
 		b.updateSelection()
 		assert.False(t, failed.home)
-		assert.Equal(t, 1.0, b.unprovenOdds(subset[1]), "as if known")
+		assert.Equal(t, 1.0, b.unprovenOdds(subset[1]), "drawn as if known-good")
 		b.unprovenFactor = 0.1
 		assert.Less(t, b.unprovenOdds(failed), 0.01)
 		b.lossShare = 0.1
 		b.updateSelection()
 		b.unprovenFactor = 0.1
-		assert.Equal(t, 0.1, b.unprovenOdds(subset[1]), "in trouble it counts as strange")
+		assert.Equal(t, 0.1, b.unprovenOdds(subset[1]), "while legs are lost it counts as unproven")
 	}
 	least, most := fleet, 0
 	for n := range endpoints {
 		least, most = min(least, sidecarsByEndpoint[EndpointID(fmt.Sprint("e", n))]), max(most, sidecarsByEndpoint[EndpointID(fmt.Sprint("e", n))])
 	}
-	assert.GreaterOrEqual(t, least, fleet*subsetSize/endpoints-3, "nobody is unknown to all")
+	assert.GreaterOrEqual(t, least, fleet*subsetSize/endpoints-3, "every endpoint is in the home subset of some sidecars")
 	assert.LessOrEqual(t, most, fleet*subsetSize/endpoints+3)
 	positions := map[float64]bool{}
 	for seed := range uint64(10) {
 		positions[New(Terms{Seed: seed, SidecarNumber: -1, Products: []Product{{Expected: 400}}}, &recorder{}, 0).subsetStart] = true
 	}
-	assert.Len(t, positions, 10, "who is told no number is not where all others are")
+	assert.Len(t, positions, 10, "sidecars without a number start their subsets at different positions")
 }
 
-// Restarted together, 56 of 80 sidecars asked for the list at once and again each two seconds. Discovery takes calls in
-// turn and drops those that waited too long, so most were never served and sent legs to endpoints long gone.
+// Guards against a fleet that overloads discovery after a restart. 56 of 80 sidecars, restarted together, called for
+// the list at once and again every two seconds. Discovery serves calls in order and drops those that have waited too
+// long, so most were never served and sent legs to endpoints long gone.
 func TestListCallsSpreadInALargeFleet(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		fleet       int
-		knows       bool
-		atOnce      int // of 40 sidecars
-		first, most Millis
+		knows       bool   // an old list is there at the start
+		atOnce      int    // sidecars of 40 that call at once
+		first, most Millis // back-off: the first, and the maximum
 	}{
-		{"small", 4, true, 40, 500, 2500}, {"large", 80, true, 0, 1925, 9625}, {"large, but knows nobody", 80, false, 40, 1925, 9625},
+		{"small", 4, true, 40, 500, 2500}, {"large", 80, true, 0, 1925, 9625}, {"large, without an old list", 80, false, 40, 1925, 9625},
 	} {
 		atOnce, wakes := 0, map[string]bool{}
 		for seed := range uint64(40) {
@@ -1005,7 +1023,7 @@
 			for _, w := range r.lines {
 				if w == "watch" {
 					atOnce++
-				} else if strings.HasPrefix(w, "wake 1 ") {
+				} else if strings.HasPrefix(w, "timer 1 ") {
 					wakes[w] = true
 				}
 			}
@@ -1014,15 +1032,15 @@
 				b.ListCallFailed()
 			}
 			assert.LessOrEqual(t, b.listBackoff, c.most, c.name)
-			assert.Less(t, 1.5*b.listBackoff, Millis(4*10000), "a failed call allows four times ask-within")
+			assert.Less(t, 1.5*b.listBackoff, Millis(4*10000), "after a failed call four times ask-within is allowed")
 		}
 		assert.Equal(t, c.atOnce, atOnce, c.name)
-		assert.Len(t, wakes, 40-c.atOnce, "%s: spread", c.name)
+		assert.Len(t, wakes, 40-c.atOnce, "%s: waits differ between sidecars", c.name)
 	}
 }
 
-// A heavy sidecar of a large fleet dismissed a third of its exchanges in its first seconds for want of room, with nearly
-// all endpoints idle and nothing late.
+// Guards against concurrency limits that are too low at the start: a sidecar of high traffic in a large fleet shed a
+// third of its exchanges in its first seconds because of them, with nearly all endpoints idle and no answer late.
 func TestLegLimitWidensWhileNothingIsLost(t *testing.T) {
 	for _, c := range []struct {
 		lost, longTerm float64
@@ -1041,7 +1059,8 @@
 	}
 }
 
-// What staff say stands whatever the list says, and who comes back is a new process: cold, unknown, and used at once.
+// An operator drain must hold whatever the list says. After Undrain the endpoint counts as a new process: cold, without
+// history, and used soon.
 func TestOperatorDrainAndUndrain(t *testing.T) {
 	b, r := newTestBalancer("ab")
 	serve(b, r, 40, 50)
@@ -1069,7 +1088,7 @@
 	for _, oldStart := range []Millis{0, b.now - 5} {
 		b.Listed("a", Running, 0, 0, 0, 1, oldStart)
 		b.ListEnds(false)
-		assert.True(t, b.isCold(b.byID["a"]), "an older start in the list does not warm it")
+		assert.True(t, b.isCold(b.byID["a"]), "an older start in the list does not make it warm")
 	}
 	legsToA := func() (n int) {
 		for range 2 * int(b.fallWindow/b.upkeepInterval) * int(firstLegFallWindows) {
@@ -1082,19 +1101,20 @@
 		}
 		return n
 	}
-	assert.NotZero(t, legsToA(), "well within 5 s, though this sidecar sends one exchange in a beat")
+	assert.NotZero(t, legsToA(), "well within 5 s, though this sidecar sends one exchange per upkeep interval")
 	b.Undrain("a")
-	b.Undrain("never out")
+	b.Undrain("never drained")
 	assert.Zero(t, b.AvoidedEndpoints())
 	b.Drain("gone")
 	b.Undrain("gone")
 	b.SetNow(b.now + b.coldPeriod + 1)
 	b.ListEnds(false)
-	assert.Empty(t, b.undrainedAt, "what staff said is not kept for ever")
+	assert.Empty(t, b.undrainedAt, "operators' commands are not kept for ever")
 }
 
-// One command puts an endpoint back at all consoles, and each sidecar's first leg goes there: their sum must not push it over.
-// An endpoint of two slots is taken, of which the settings allow n legs in the time of a fall when it has just started.
+// Guards against overloading an endpoint that one command undrains at all consoles: each sidecar's first leg goes
+// there, and the sum must not exceed what a cold endpoint can do. The endpoint is taken to have two slots; allowed is
+// the number of legs that the settings permit for them in the fall window just after its start.
 func TestUndrainAtAllConsolesStaysWithinColdBudget(t *testing.T) {
 	for _, fleet := range []int{1, 5, 20, 30, 80, 350, 1024} {
 		type sidecar struct {
@@ -1122,7 +1142,7 @@
 				s.TimerFired(0)
 				s.take()
 			}
-			for n := range 40 { // half of what ten endpoints of two slots can do
+			for n := range 40 { // half the capacity of ten endpoints of two slots
 				rng = rng*6364136223846793005 + 1442695040888963407
 				s, x := sidecars[int(rng>>33)%fleet], ExchangeID(fmt.Sprint(n, b.now))
 				s.Arrive(x, retryable, -1, 0, s.now+4000, 0, false)
@@ -1137,7 +1157,7 @@
 			}
 		}
 		allowed := 3 * 0.1 * 2 * float64(b.fallWindow) / 50
-		allowed += allowed * 9 * float64(5*b.fallWindow/b.coldPeriod) / 2 // it warms up meanwhile: half of that on the mean
+		allowed += allowed * 9 * float64(5*b.fallWindow/b.coldPeriod) / 2 // it warms up meanwhile: half of that in the mean
 		most, from := 0, 0
 		for to := range legTimes {
 			for legTimes[from] <= legTimes[to]-b.fallWindow {
@@ -1146,11 +1166,11 @@
 			most = max(most, to-from+1)
 		}
 		assert.LessOrEqual(t, float64(most), allowed+2*math.Sqrt(allowed)+2, "%d sidecars", fleet)
-		assert.Positive(t, most, "%d sidecars: it is used again", fleet)
+		assert.Positive(t, most, "%d sidecars: the endpoint is used again", fleet)
 	}
 }
 
-// An endpoint out by hand gets neither the copy, nor the further leg, nor what waits for room.
+// An endpoint drained by an operator must get neither hedges, nor further legs, nor queued exchanges.
 func TestOperatorDrainStopsHedgesRetriesAndQueuedLegs(t *testing.T) {
 	b, r := newTestBalancer("ab")
 	serve(b, r, 40, 50)
@@ -1158,16 +1178,17 @@
 	other := map[EndpointID]EndpointID{"a": "b", "b": "a"}[to]
 	b.Drain(other)
 	b.TimerFired(TimerID(b.exchanges["x"].slot)<<40 | TimerID(b.exchanges["x"].generation)<<8 | TimerID(hedgeDue)<<4 | 2)
-	assert.Empty(t, sentTo(r), "copy")
+	assert.Empty(t, sentTo(r), "hedge")
 	b.LegEnded("x", 0, NoConnection, 5, false)
 	assert.NotEqual(t, other, sentTo(r), "further leg")
 	b.Drain(to)
 	r.take()
 	b.Arrive("y", retryable, -1, 0, b.now+4000, 0, false)
-	assert.Equal(t, []string{"dismiss y"}, r.take("send", "dismiss"), "the only ones left are out: told at once")
+	assert.Equal(t, []string{"shed y"}, r.take("send", "shed"), "all endpoints are drained: shed at once")
 }
 
-// A leg in transfer is no work for its endpoint: neither a slow client nor a long answer may look like an overload.
+// A leg whose request or answer is in transfer is no work for its endpoint: neither a slow client nor a long answer may
+// count as overload.
 func TestTransfersAreNotCountedAsLegsInFlight(t *testing.T) {
 	b, r := newTestBalancer("ab")
 	serve(b, r, 40, 50)
@@ -1179,28 +1200,29 @@
 	for range 60 {
 		runUpkeep(b, 1)
 	}
-	assert.LessOrEqual(t, b.lossShare, lost, "a request that is still coming is not late")
+	assert.LessOrEqual(t, b.lossShare, lost, "an incomplete request is not late")
 	assert.LessOrEqual(t, b.lossShareLong, longTerm)
 	b.TimerFired(TimerID(b.exchanges["up"].slot)<<40 | TimerID(b.exchanges["up"].generation)<<8 | TimerID(hedgeDue)<<4 | 2)
-	assert.Empty(t, sentTo(r), "and gets no copy")
+	assert.Empty(t, sentTo(r), "an incomplete request is not hedged")
 	b.BodyComplete("up", b.now+4000)
 	assert.Equal(t, 1, b.legsInFlight)
 	assert.Equal(t, 1, b.byID[to].legs)
-	assert.Equal(t, b.now, b.exchanges["up"].legs[0].sentAt, "its time begins")
+	assert.Equal(t, b.now, b.exchanges["up"].legs[0].sentAt, "its time starts when the request is complete")
 	answers := b.products[0].answers
 	b.SetNow(b.now + 60)
 	b.StreamBegan("up", 0)
 	assert.Zero(t, b.legsInFlight+b.byID[to].legs)
-	assert.Equal(t, answers+1, b.products[0].answers, "its first byte tells how fast the endpoint is")
+	assert.Equal(t, answers+1, b.products[0].answers, "the time to its first byte counts as the endpoint's latency")
 	failures := b.byID[to].failures
 	b.SetNow(b.now + 9000)
 	b.LegEnded("up", 0, Reset, 60, true)
-	assert.Greater(t, b.byID[to].failures, failures, "one that breaks off counts against it")
+	assert.Greater(t, b.byID[to].failures, failures, "an answer that breaks off counts as a failure of its endpoint")
 	assert.Empty(t, b.exchanges)
 	assert.Zero(t, b.legsInFlight+b.byID[to].legs)
 }
 
-// What can't be sent again gets no further leg, though it never ran; what still can gets one.
+// A request whose body is no longer kept can't be sent again and must get no further leg, although it never ran. One
+// whose body is kept must get one.
 func TestNoFurtherLegAfterBodyDiscarded(t *testing.T) {
 	for _, discarded := range []bool{false, true} {
 		b, r := newTestBalancer("ab")
@@ -1211,7 +1233,7 @@
 		}
 		b.LegEnded("x", 0, NoConnection, 0, false)
 		if discarded {
-			assert.Equal(t, []string{"dismiss x"}, r.take("send", "dismiss", "forfeit"), "harmless: it never ran")
+			assert.Equal(t, []string{"shed x"}, r.take("send", "shed", "fail"), "harmless: it never ran")
 		} else {
 			assert.NotEmpty(t, sentTo(r))
 		}
@@ -1220,8 +1242,8 @@
 	}
 }
 
-// Guards against the budget of legs broken on all days of a deployment that states one: copies and other tries were
-// each bounded by a ratio of their own, over windows of their own.
+// Guards against exceeding a deployment's budget of further legs, which happened in all scenarios of a deployment that
+// states one: hedges and retries were each bounded by a ratio of their own, over windows of their own.
 func TestFurtherLegBudgetWindow(t *testing.T) {
 	budget := legBudget{free: 1, ratio: 0.5, window: 1000}
 	for _, c := range []struct {
@@ -1237,10 +1259,10 @@
 		}
 		assert.Equal(t, c.want, sent, "%v", c)
 	}
-	budget.furtherLegs.add(90000, -1) // one that was never sent
+	budget.furtherLegs.add(90000, -1) // a leg that was not sent
 	assert.True(t, budget.allows(90000))
-	assert.LessOrEqual(t, len(budget.exchanges.times)+len(budget.furtherLegs.times), 2, "what has left the window is forgotten")
-	assert.True(t, (&legBudget{}).allows(0), "not stated, not bounded")
+	assert.LessOrEqual(t, len(budget.exchanges.times)+len(budget.furtherLegs.times), 2, "entries older than the window are removed")
+	assert.True(t, (&legBudget{}).allows(0), "without a window there is no bound")
 }
 
 func TestFurtherLegBudgetIsEnforced(t *testing.T) {
@@ -1258,7 +1280,7 @@
 	assert.Equal(t, 2, further)
 }
 
-// Guards against the hottest of the keys that crowded their two endpoints: one in eight exchanges was about it.
+// Guards against hot keys that overload their two endpoints: one in eight exchanges had the hottest of them.
 func TestHotKeysGetEndpointsByTrafficShare(t *testing.T) {
 	for share, want := range map[float64]int{0.001: 1, 0.2: 3, 0.5: 7} {
 		b, r := newTestBalancer("abcdefgh")
@@ -1272,7 +1294,8 @@
 	}
 }
 
-// asking starts an instance that has found reports fresh, and hands in one exchange.
+// newProbingBalancer starts a Balancer that has found load reports to be fresh, hands in one exchange, and returns the
+// endpoints that are probed for it.
 func newProbingBalancer() (*Balancer, *recorder, []string) {
 	b, r := newTestBalancer("abcdefgh")
 	b.canProbe, b.maxProbes, b.reportTests, b.freshShare = true, 3, reportAgeTests, 1
@@ -1285,7 +1308,8 @@
 	return b, r, probed
 }
 
-// Guards against light sidecars that choose blindly: with less than an exchange a second each, none knows the others'.
+// Guards against sidecars of little traffic that choose at random: with less than an exchange a second each, none knows
+// of the others' legs.
 func TestProbedEndpointsAreChosenByReportedLoad(t *testing.T) {
 	b, r, probed := newProbingBalancer()
 	assert.Len(t, probed, 3)
@@ -1293,16 +1317,16 @@
 		assert.Empty(t, sentTo(r))
 		b.Probed(EndpointID(id), true, Load{Held: float64(3 - n)})
 	}
-	assert.Equal(t, EndpointID(probed[2]), sentTo(r), "it holds the least")
+	assert.Equal(t, EndpointID(probed[2]), sentTo(r), "it reports the least load")
 
-	b, r, probed = newProbingBalancer() // two stand still
+	b, r, probed = newProbingBalancer() // two do not answer
 	b.Probed(EndpointID(probed[1]), true, Load{Held: 9})
 	b.TimerFired(TimerID(b.exchanges["x"].generation)<<8 | TimerID(waitExpired)<<4 | 2)
-	assert.Equal(t, EndpointID(probed[1]), sentTo(r), "it answers at least")
+	assert.Equal(t, EndpointID(probed[1]), sentTo(r), "the only one that answered")
 
-	b, r, probed = newProbingBalancer() // all do
+	b, r, probed = newProbingBalancer() // none answers
 	b.TimerFired(TimerID(b.exchanges["x"].generation)<<8 | TimerID(waitExpired)<<4 | 2)
-	assert.Contains(t, probed, string(sentTo(r)), "or dismissed, but never kept")
+	assert.Contains(t, probed, string(sentTo(r)), "sent to one of them, not left waiting")
 
 	b, r, _ = newProbingBalancer()
 	b.ClientLeft("x")
@@ -1310,8 +1334,9 @@
 	assert.Empty(t, b.exchanges)
 }
 
-// Guards against a fleet of 1,400 that pushed 14 cold endpoints over: being idle they won whenever they were asked, and a
-// light product's exchange went for less than a whole token, which a fifth of all sidecars had at once.
+// Guards against a fleet of 1,400 sidecars that overloaded 14 cold endpoints: being idle they reported the least load
+// whenever they were probed, and an exchange of a light product needed less than a whole token, which a fifth of all
+// sidecars had from the start.
 func TestColdEndpointsAreNotTreatedAsIdle(t *testing.T) {
 	b, r, probed := newProbingBalancer()
 	cold := b.byID[EndpointID(probed[0])]
@@ -1319,7 +1344,7 @@
 	for n, id := range probed {
 		b.Probed(EndpointID(id), true, Load{Held: float64(2 * n)})
 	}
-	assert.Equal(t, EndpointID(probed[1]), sentTo(r), "it can do a tenth of the others' work")
+	assert.Equal(t, EndpointID(probed[1]), sentTo(r), "the cold one has a tenth of the others' capacity")
 
 	b, _ = newTestBalancer("ab")
 	e, x := b.byID["a"], &exchange{product: &b.products[retryable], deadline: b.now + 1000}
@@ -1331,11 +1356,11 @@
 	}
 }
 
-// Guards against reports that are a second old, by which all who ask meet at the same endpoints.
+// Guards against load reports that are a second old, by which all probing sidecars choose the same endpoints.
 func TestStaleLoadReportsDisableProbing(t *testing.T) {
 	for _, changes := range []bool{false, true} {
 		b, r := newTestBalancer("abcdefgh")
-		arrive(b, r, "x", singleUse) // what is idle has nothing new to tell
+		arrive(b, r, "x", singleUse) // an idle endpoint's report does not change
 		b.canProbe, b.maxProbes = true, 2
 		load := Load{}
 		for range 100 {
@@ -1352,7 +1377,8 @@
 	}
 }
 
-// Guards against exchanges given up because their sidecar's clock ran ahead: told 800 ms less than they had.
+// Guards against exchanges that are given up because their sidecar's clock is ahead: by it they have 800 ms less than
+// in fact.
 func TestTimeLeftToleratesClockOffset(t *testing.T) {
 	for _, c := range []struct{ clockOffset, stated, want Millis }{
 		{0, -100, -100}, {800, 4000, 4000}, {800, 3300, 4000}, {800, 2000, 2800}, {800, -100, 700}, {800, 4500, 4500},
@@ -1367,8 +1393,8 @@
 	}
 }
 
-// Guards against keys that wait for something of their own (a lock, clients that read slowly) and brought down the
-// endpoints they were met at, and the shares by which all others are let in.
+// Guards against blocked keys, whose exchanges wait for something of their own (a lock, clients that read slowly), and
+// whose lost legs made the endpoints that they met suspect and the loss shares rise by which all other keys are shed.
 func TestBlockedKeysDoNotMakeEndpointsSuspect(t *testing.T) {
 	b, r := newTestBalancer("abcdefgh")
 	b.warmKeys = true
@@ -1385,12 +1411,12 @@
 			runUpkeep(b, 1)
 		}
 	}
-	assert.InDelta(t, 90, shedCount, 9, "of a hundred; now and then one is tried")
+	assert.InDelta(t, 90, shedCount, 9, "of a hundred exchanges; now and then one is tried")
 	assert.Less(t, b.lossShare, 0.1)
 	assert.False(t, slices.ContainsFunc(b.endpoints, func(e *endpoint) bool { return e.suspect }))
 }
 
-// Guards against answers that fill all buffers while their clients read: nothing else got through.
+// Guards against answers that take all buffers while their clients read them: no other exchange got through.
 func TestOldestExchangeIsGivenUpWhenBuffersAreFull(t *testing.T) {
 	b, r := newTestBalancer("abcdefgh")
 	b.answerBuffers = 2
@@ -1400,11 +1426,11 @@
 	}
 	r.take()
 	runUpkeep(b, 8)
-	assert.Equal(t, []string{"dismiss 0"}, r.take("dismiss", "forfeit")[:1])
+	assert.Equal(t, []string{"shed 0"}, r.take("shed", "fail")[:1])
 }
 
-// Guards against an exchange that was given up for its buffer while it stood in the queue for another leg: its place was
-// free, and a leg left for nobody (deploy+slow_link, 62 sidecars).
+// Guards against giving up an exchange for its buffer while it is queued for another leg: its slot was released, and a
+// leg was sent that belonged to no exchange (scenario deploy+slow_link, 62 sidecars).
 func TestQueuedExchangeHoldsNoBuffer(t *testing.T) {
 	b, _ := newTestBalancer("abcdefgh")
 	b.answerBuffers = 2
@@ -1413,12 +1439,12 @@
 	x := b.exchanges["x"]
 	assert.True(t, x.overdue)
 	b.LegEnded("x", 0, NoConnection, 10, false)
-	assert.NotNil(t, b.exchanges["x"], "another leg is out or waited for")
+	assert.NotNil(t, b.exchanges["x"], "another leg is in flight or queued")
 	assert.False(t, x.overdue)
 	assert.Zero(t, b.overdueByKey[5])
 }
 
-// Guards against small odds that came to nothing: with all endpoints failing, a key's draw had none to choose from.
+// Guards against weights that underflow: with all endpoints failing, the draw for a key had none to choose from.
 func TestKeyedPickWithMinimalWeights(t *testing.T) {
 	b, r := newTestBalancer("ab")
 	b.warmKeys = true
@@ -1430,18 +1456,18 @@
 	}
 }
 
-// Guards against warm keys that went wherever chance had it: a fleet that remembers them was asked for half as much
-// again as it can do.
+// Guards against keys that go to random endpoints: a fleet whose endpoints keep keys warm got half as much work again
+// as it can do.
 func TestKeyGoesToTheSameEndpointFromEverySidecar(t *testing.T) {
 	used := map[EndpointID]bool{}
 	for key := KeyID(1); key < 40; key++ {
 		targets := map[EndpointID]bool{}
 		for n := range 40 {
 			b, r := newTestBalancer("abcdefgh")
-			b.warmKeys, b.rng, b.keyTrafficTotal = true, uint64(n), 1e6 // one key of many, at another sidecar each time
+			b.warmKeys, b.rng, b.keyTrafficTotal = true, uint64(n), 1e6 // one key of many, each time at another sidecar
 			targets[serveWithKey(b, r, n, key*0x9e3779b97f4a7c15, 10)] = true
 		}
-		assert.Len(t, targets, 1, "an idle first endpoint keeps its key, at each sidecar")
+		assert.Len(t, targets, 1, "every sidecar sends the key to its first endpoint while that is idle")
 		for e := range targets {
 			used[e] = true
 		}
@@ -1449,7 +1475,7 @@
 	assert.Greater(t, len(used), 4)
 }
 
-// Guards against an overload that chance alone sheds: each key was let in now and then, and none stayed warm.
+// Guards against shedding at random during an overload: each key was admitted now and then, and none stayed warm.
 func TestSheddingDrawOfAKeyIsTheSameAtEverySidecar(t *testing.T) {
 	first, _ := newTestBalancer("ab")
 	second, _ := newTestBalancer("ab")
@@ -1460,11 +1486,11 @@
 	first.SetNow(first.now + first.longestExpected*sheddingDrawSpans/4)
 	assert.NotEqual(t, before, first.sheddingDraw(x), "no key is shed for good")
 	x.key = 0
-	assert.NotEqual(t, first.sheddingDraw(x), first.sheddingDraw(x), "no key, no lot but chance")
+	assert.NotEqual(t, first.sheddingDraw(x), first.sheddingDraw(x), "without a key the draw is random")
 }
 
-// Guards against a zone that drowned beside an idle one: crossing is priced, so others were drawn once in 61 times
-// whatever became of the legs at home.
+// Guards against a zone that is overloaded beside an idle one: traffic across zones has a price, so other zones were
+// drawn once in 61 times whatever the outcomes of legs at home.
 func TestZonesAreDrawnByShareOfLegsInTime(t *testing.T) {
 	legsToOtherZone := func(home, other outcomeCounts) (n int) {
 		b, r := newTestBalancer("ab")
@@ -1482,12 +1508,13 @@
 	}
 	healthy, failing := outcomeCounts{successes: 20}, outcomeCounts{successes: 8, failures: 12}
 	assert.Less(t, legsToOtherZone(healthy, healthy), 40)
-	assert.Greater(t, legsToOtherZone(failing, healthy), 120, "home is asked for more than it can do")
-	assert.Less(t, legsToOtherZone(failing, failing), 40, "so is everyone")
-	assert.Less(t, legsToOtherZone(healthy, failing), 10, "the way there is slow")
+	assert.Greater(t, legsToOtherZone(failing, healthy), 120, "the home zone is overloaded")
+	assert.Less(t, legsToOtherZone(failing, failing), 40, "both zones are overloaded")
+	assert.Less(t, legsToOtherZone(healthy, failing), 10, "legs to the other zone are not in time")
 }
 
-// Guards against half a zone's exchanges dismissed while another stood idle: where those at home hold much, others are asked.
+// Guards against shedding half of a zone's exchanges while another zone is idle: when the endpoints at home report much
+// load, those of other zones must be probed.
 func TestOtherZonesAreProbedWhenHomeIsLoaded(t *testing.T) {
 	b, r := newTestBalancer("abcdefgh")
 	for _, id := range []EndpointID{"e", "f", "g", "h"} {
@@ -1503,7 +1530,7 @@
 		b.Probed(EndpointID(l[6:]), true, Load{Held: 500})
 	}
 	otherProbes := r.take("probe")
-	assert.Len(t, otherProbes, 2) // else nothing below is checked, and no text lacks ""
+	assert.Len(t, otherProbes, 2) // without probes the loop below checks nothing, and any text contains ""
 	for _, l := range otherProbes {
 		assert.Contains(t, "efgh", l[6:])
 		b.Probed(EndpointID(l[6:]), true, Load{Held: 1})
@@ -1511,19 +1538,20 @@
 	assert.Contains(t, []EndpointID{"e", "f", "g", "h"}, sentTo(r))
 }
 
-// A leg over a way that takes longer than its product has is late however idle all are: it is not drawn, and not taken for a
-// sign of a queue. Products with more time are sent there as before, and where home has nothing left all are. Work varies, so
-// that single answers from there are as quick as some from home, and many from home as slow as any.
+// A leg over a network path that takes longer than its product's time is late however idle the endpoints are: such a
+// zone must not be drawn, and its late legs must not count as a sign of a queue. Products with more time are sent there
+// as before, and so are all products when home has no endpoint left. Work varies, so that single answers from the other
+// zone are as quick as some from home, and many from home as slow as any.
 func TestZonesTooFarForAProductAreAvoided(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		expected    Millis
-		roundTripMs float64 // ms to the other zone and back
+		roundTripMs float64 // to the other zone and back
 		homeGone    bool
-		least, most int // legs of 400 to the other zone, which has as many endpoints
+		least, most int // legs of 400 to the other zone, which has as many endpoints as home
 	}{
 		{"too long", 30, 40, false, 0, 20}, {"most of its time", 80, 40, false, 0, 60}, {"hardly any of its time", 4000, 40, false, 120, 280},
-		{"no longer than home", 30, 0, false, 120, 280}, {"nothing at home", 30, 40, true, 400, 400},
+		{"as near as home", 30, 0, false, 120, 280}, {"no endpoint at home", 30, 40, true, 400, 400},
 	} {
 		b, r := newTestBalancer("abcdefgh")
 		for _, name := range "efgh" {
@@ -1547,7 +1575,7 @@
 			runUpkeep(b, 1)
 			return to
 		}
-		for n := range 200 { // with much time for each it is seen how long the ways are
+		for n := range 200 { // with much time for each, to learn the path latencies
 			runExchange(n)
 		}
 		b.products[retryable].Expected, b.products[retryable].Abandon = c.expected, c.expected
@@ -1559,13 +1587,14 @@
 		b.ListEnds(false)
 		otherZone, sent := 0, 0
 		for n := 200; sent < 400 && n < 5000; n++ {
-			b.lossShare, b.lossShareLong, b.outcomesByZone[0], b.outcomesByZone[1] = 0, 0, outcomeCounts{}, outcomeCounts{} // by the way alone, not by how legs fare
+			// Only path latency counts here, not the outcomes by zone.
+			b.lossShare, b.lossShareLong, b.outcomesByZone[0], b.outcomesByZone[1] = 0, 0, outcomeCounts{}, outcomeCounts{}
 			if to := runExchange(n); to != "" {
 				sent++
 				otherZone += int(b.byID[to].zone)
 			}
 		}
 		assert.Equal(t, 400, sent, c.name)
-		assert.True(t, otherZone >= c.least && otherZone <= c.most, "%s: %d of 400 there, ways %.1f", c.name, otherZone, b.pathLatency)
+		assert.True(t, otherZone >= c.least && otherZone <= c.most, "%s: %d of 400 to the other zone, path latencies %.1f", c.name, otherZone, b.pathLatency)
 	}
 }
--- a/logic/placement_test.go
+++ b/logic/placement_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// placed starts an instance before eight endpoints of two zones and two kinds of machine, with products bound to a zone, to a
-// kind, to both, to a zone that no endpoint has, to nothing, and one that may go anywhere.
+// newPlacementBalancer starts a Balancer with eight endpoints of two zones and two kinds of machine. Its products are
+// constrained to a zone, to a kind, to both, to a zone without endpoints, to no zone at all, and not constrained.
 func newPlacementBalancer(configure func(*Terms)) (*Balancer, *recorder) {
 	r := &recorder{}
 	p := Product{Effect: Retryable, Expected: 1000, Abandon: 4000, Value: 1, OverdueShare: 0.5}
@@ -34,14 +34,15 @@
 	return b, r
 }
 
-// Whatever comes together, no leg of a product leaves for a place or kind that is not open to it, be it the first, a copy, a
-// further one, or one that waited: endpoints fail, fill up, drain, start cold, go out by hand and change their zone and kind.
+// No leg of a product may go to a zone or a kind of machine that its product does not allow, whether it is the first, a
+// hedge, a further leg or one that was queued. Meanwhile endpoints fail, fill up, drain, start cold, are drained by
+// operators and change their zone and kind, in random order.
 func TestLegsKeepPlacementConstraints(t *testing.T) {
 	for name, configure := range map[string]func(*Terms){
 		"plain": nil, "keys": func(t *Terms) { t.WarmKeys = true },
-		"asked":               func(t *Terms) { t.MayProbe, t.ReportsLoad = true, true },
-		"a sidecar elsewhere": func(t *Terms) { t.Zone, t.CrossZonePrice = 1, 0.03 },
-		"a small fleet":       func(t *Terms) { t.Fleet = 1 },
+		"probing":           func(t *Terms) { t.MayProbe, t.ReportsLoad = true, true },
+		"sidecar in zone 1": func(t *Terms) { t.Zone, t.CrossZonePrice = 1, 0.03 },
+		"small fleet":       func(t *Terms) { t.Fleet = 1 },
 	} {
 		sent := [6]int{}
 		for seed := range uint64(6) {
@@ -118,7 +119,7 @@
 				default:
 					b.TimerFired(0)
 				}
-				for _, x := range b.slots { // timers that are due, in any order
+				for _, x := range b.slots { // timers fire in any order
 					if x.next != nil && !x.answered && b.random() < 0.01 {
 						x.next(b, x, stepEvent{kind: []eventKind{hedgeDue, waitExpired}[int(b.random()*2)]})
 					}
@@ -128,7 +129,7 @@
 		}
 		for p, n := range sent {
 			if p == 3 || p == 4 {
-				assert.Zero(t, n, "%s: nothing is open to product %d", name, p)
+				assert.Zero(t, n, "%s: no endpoint is allowed for product %d", name, p)
 			} else {
 				assert.Greater(t, n, 100, "%s: product %d", name, p)
 			}
@@ -136,8 +137,8 @@
 	}
 }
 
-// What is bound waits for its own while these are full, and holds nobody else back; where there is nothing open to it at all it
-// is ended at once.
+// An exchange of a constrained product must wait while the endpoints allowed for it are full, without holding back
+// exchanges of other products. If no endpoint is allowed for it at all, it must be shed at once.
 func TestConstrainedProductDoesNotBlockOthers(t *testing.T) {
 	b, r := newPlacementBalancer(nil)
 	b.minLimit, b.typicalLatency = 1, 50
@@ -152,7 +153,7 @@
 	assert.Equal(t, "waits", string(b.queue[0].id))
 	r.take()
 	b.Arrive("nowhere", 3, -1, 0, b.now+4000, 0, false)
-	assert.Equal(t, []string{"dismiss nowhere"}, r.take("dismiss", "send"))
+	assert.Equal(t, []string{"shed nowhere"}, r.take("shed", "send"))
 	assert.Nil(t, b.exchanges["nowhere"])
 	for _, e := range b.ready {
 		if e.zone == 0 {
--- a/logic/pool_test.go
+++ b/logic/pool_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// beginPool starts sidecar me of a pool before so many endpoints.
+// newPoolBalancer starts one sidecar, by its number, of a fleet whose sidecars share endpoints and notify each other of
+// their legs.
 func newPoolBalancer(sidecar, fleet, endpoints int) (*Balancer, *recorder) {
 	r := &recorder{}
 	b := New(Terms{
@@ -24,8 +25,9 @@
 	return b, r
 }
 
-// Without a bound of sharers hundreds of sidecars wore out what connections endpoints take (addis-roster: 59% of legs
-// got none); left to chance alone, some sidecar would share no endpoint at all.
+// Guards against hundreds of sidecars that exhaust the connections which endpoints accept, when the number of sidecars
+// that share an endpoint has no bound (scenario addis-roster: 59% of legs got no connection). If subsets were left to
+// chance alone, some sidecars would have no endpoint at all.
 func TestPoolLimitsSidecarsPerEndpoint(t *testing.T) {
 	used := map[EndpointID]int{}
 	least := math.MaxInt
@@ -44,7 +46,8 @@
 	}
 }
 
-// What another sidecar has out counts as ours: else each chooses blindly and some endpoints choke.
+// Legs in flight of another sidecar must count like the sidecar's own. Otherwise each chooses without knowing of the
+// others' legs, and some endpoints are overloaded.
 func TestPoolCountsLegsReportedByPeers(t *testing.T) {
 	a, ra := newPoolBalancer(0, 2, 2)
 	b, rb := newPoolBalancer(1, 2, 2)
@@ -55,7 +58,7 @@
 		messages := deliverMessages(t, ra, b)
 		assert.Equal(t, 1, messages)
 		to := a.exchanges[x].legs[0].to.id
-		assert.NotEqual(t, to, arrive(b, rb, x, 0), "the other one is idle")
+		assert.NotEqual(t, to, arrive(b, rb, x, 0), "the other endpoint is idle")
 		a.LegEnded(x, 0, Succeeded, 50, true)
 		deliverMessages(t, ra, b)
 		assertClose(t, 0, b.byID[to].peerWork)
@@ -63,12 +66,12 @@
 	}
 }
 
-// pass hands b what the other one told, and returns how much it was.
+// deliverMessages hands b the messages that the other sidecar sent to it, and returns their number.
 func deliverMessages(t *testing.T, r *recorder, b *Balancer) (n int) {
-	for _, l := range r.take("tell") {
+	for _, l := range r.take("notify") {
 		var to int
 		var text []byte
-		_, err := fmt.Sscanf(l, "tell %d %x", &to, &text)
+		_, err := fmt.Sscanf(l, "notify %d %x", &to, &text)
 		assert.NoError(t, err)
 		if PeerID(to) == b.self {
 			b.PeerMessage(1-b.self, text)
@@ -78,7 +81,8 @@
 	return n
 }
 
-// Messages get lost, come late, twice or spoilt: none of it may leave a load that nobody has.
+// Messages of peers are lost, delayed, duplicated or corrupted: none of this may leave work counted that does not
+// exist.
 func TestPeerMessagesTolerateLossAndCorruption(t *testing.T) {
 	wireID := wireIDOf("e0")
 	message := func(seq, work byte) []byte {
@@ -92,31 +96,31 @@
 	}{
 		{"one leg", 1, [][]byte{message(1, 4)}, 1},
 		{"the latest counts", 1, [][]byte{message(1, 4), message(2, 12)}, 3},
-		{"overtaken", 1, [][]byte{message(2, 12), message(1, 4)}, 3},
+		{"out of order", 1, [][]byte{message(2, 12), message(1, 4)}, 3},
 		{"twice", 1, [][]byte{message(1, 4), message(1, 4)}, 1},
-		{"turns go round", 1, [][]byte{message(120, 4), message(240, 4), message(3, 8)}, 2},
+		{"sequence numbers wrap", 1, [][]byte{message(120, 4), message(240, 4), message(3, 8)}, 2},
 		{"too short", 1, [][]byte{message(1, 4)[:10]}, 0},
 		{"too long", 1, [][]byte{append(message(1, 4), 0)}, 0},
 		{"empty", 1, [][]byte{nil}, 0},
-		{"an endpoint nobody named", 1, [][]byte{{0, 0, 1, 4, 0, 0, 0, 0, 0, 0, 0}}, 0},
+		{"unknown endpoint", 1, [][]byte{{0, 0, 1, 4, 0, 0, 0, 0, 0, 0, 0}}, 0},
 		{"from ourselves", 0, [][]byte{message(1, 4)}, 0},
-		{"an outcome that is none", 1, [][]byte{{byte(wireID >> 8), byte(wireID), 1, 4, 9, 0, 0, 0, 0, 0, 0}}, 0},
-		{"from below", -1, [][]byte{message(1, 4)}, 0},
+		{"invalid outcome", 1, [][]byte{{byte(wireID >> 8), byte(wireID), 1, 4, 9, 0, 0, 0, 0, 0, 0}}, 0},
+		{"negative sender", -1, [][]byte{message(1, 4)}, 0},
 	} {
 		b, _ := newPoolBalancer(0, 2, 2)
 		for _, text := range c.messages {
 			b.PeerMessage(c.from, text)
 		}
 		assertClose(t, c.want, b.byID["e0"].peerWork)
-		runUpkeep(b, 11) // over the longest expected time: whoever told is no more, or the end got lost
+		runUpkeep(b, 11) // more than the longest expected time: the sender is gone, or its last message was lost
 		assertClose(t, 0, b.byID["e0"].peerWork)
 		assert.Equal(t, 0.0, b.byID["e1"].peerWork, c.name)
 	}
 	b, _ := newTestBalancer("a")
-	b.PeerMessage(1, message(1, 4)) // where there is no pool
+	b.PeerMessage(1, message(1, 4)) // ignored without a pool
 }
 
-// answered passes n exchanges that each take so long, of the given cost.
+// serveWithCost runs n exchanges with a cost hint one after the other, each answered after took.
 func serveWithCost(b *Balancer, n int, took Millis, cost float64) {
 	for i := range n {
 		x := ExchangeID(fmt.Sprintf("a%d-%d", b.latencyCount, i))
@@ -126,14 +130,15 @@
 	}
 }
 
-// An endpoint that takes long for one exchange alone was taken for crowded, and two cores got one leg between them.
+// Guards against taking an endpoint that needs long for a single exchange for overloaded: two cores got one leg between
+// them.
 func TestPoolLimitsLegsByEndpointLatency(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		took Millis
 		most int
 	}{
-		{"quick", 40, 4}, {"slow, not crowded", 200, 2}, {"so slow that none may wait", 400, 1},
+		{"quick", 40, 4}, {"slow, not overloaded", 200, 2}, {"so slow that no leg may wait there", 400, 1},
 	} {
 		b, r := newPoolBalancer(0, 2, 1)
 		serveWithCost(b, 200, c.took, 0)
@@ -149,7 +154,8 @@
 	}
 }
 
-// Servers that all turned slow together must not make longer queues look right: that kept them choked for half a minute.
+// Guards against longer queues being accepted as normal when all endpoints slow down together: that kept them
+// overloaded for half a minute.
 func TestSharedSlowdownRaisesUnloadedLatencySlowly(t *testing.T) {
 	b, _ := newPoolBalancer(0, 2, 1)
 	serveWithCost(b, 200, 50, 0)
@@ -157,10 +163,11 @@
 	serveWithCost(b, 20, 300, 0)
 	assert.Less(t, b.unloadedLatency, before*1.6)
 	serveWithCost(b, 200, 50, 0)
-	assert.InDelta(t, before, b.unloadedLatency, before*0.2, "it falls at once")
+	assert.InDelta(t, before, b.unloadedLatency, before*0.2, "falls without delay")
 }
 
-// A leg told with next to no work ahead made the time alone infinite, then no number, and everything had room.
+// Guards against a reported leg with next to no work ahead of it: it made the unloaded latency infinite, then NaN, and
+// every leg was admitted.
 func TestLegsOfTinyWorkKeepLatenciesFinite(t *testing.T) {
 	b, r := newPoolBalancer(0, 2, 2)
 	wireID := wireIDOf("e0")
@@ -179,10 +186,10 @@
 			sent++
 		}
 	}
-	assert.Less(t, sent, 50, "not everything has room")
+	assert.Less(t, sent, 50, "not all are sent")
 }
 
-// A heavy exchange is no slow endpoint, and what is heavy weighs in the account of the others.
+// A heavy exchange must not make its endpoint look slow, and must count with its whole work at the other sidecars.
 func TestCostHintsWeighLegs(t *testing.T) {
 	a, ra := newPoolBalancer(0, 2, 2)
 	b, _ := newPoolBalancer(1, 2, 2)
@@ -205,8 +212,8 @@
 	}
 }
 
-// Sharers each with a budget of their own would push a cold endpoint over together; each with a part of what it sends itself
-// left a fleet's new endpoints idle while the old ones were full.
+// A cold endpoint's token budget must be shared by the sidecars that use it. With a budget each, they would overload it
+// together; with budgets by what each sends itself, a fleet's new endpoints stayed idle while the old ones were full.
 func TestColdBudgetIsSharedByThePool(t *testing.T) {
 	b, r := newPoolBalancer(0, 2, 1)
 	serveWithCost(b, 200, 50, 0)
@@ -215,7 +222,7 @@
 	e := b.byID["e9"]
 	wireID := e.wireID
 	if b.subsetOrder(e) > 0 {
-		t.Fatal("two sidecars share all there is")
+		t.Fatal("two sidecars must share every endpoint")
 	}
 	before := e.coldTokens
 	b.PeerMessage(1, []byte{byte(wireID >> 8), byte(wireID), 0, 4, byte(Unknown), 0, 4, 0, 0, 4, 0})
@@ -240,12 +247,14 @@
 			b.TimerFired(0)
 		}
 	}
-	// A warm one serves 20 a second alone; cold from 0.1 of that, three times it is the limit: 6, and a little more as it warms.
+	// A warm endpoint serves 20 a second, a cold one 0.1 of that at first. Three times that is the limit: 6, and a little
+	// more as it warms up.
 	assert.LessOrEqual(t, sent+reported, 9)
 	assert.GreaterOrEqual(t, sent+reported, 2)
 }
 
-// Where value is paid for each unit of work, the product of most value per exchange and work is not the worthiest.
+// When value is paid for each unit of work, products must rank by that value alone: dividing it by the work of an
+// exchange, as values per exchange are, would not put the most valuable product first.
 func TestRankByValuePerUnitOfWork(t *testing.T) {
 	for byWork, first := range map[bool]ProductID{true: 1, false: 0} {
 		b := New(Terms{Fleet: 1, MaxLegs: 1, ByWork: byWork, Products: []Product{
@@ -256,7 +265,8 @@
 	}
 }
 
-// A tenant that floods must be known from what all sharers took, not from one sidecar's few exchanges.
+// A tenant beyond its share must be recognized by the exchanges of all sidecars that share an endpoint, not by the few
+// of one sidecar.
 func TestTenantSharesCountExchangesOfPeers(t *testing.T) {
 	b, _ := newPoolBalancer(0, 2, 2)
 	b.tenantShares, b.admitted, b.overShareValue = []float64{0.5, 0.5}, make([]float64, 2), 0.05
@@ -267,15 +277,16 @@
 		b.PeerMessage(1, []byte{byte(wireID >> 8), byte(wireID), byte(seq + 1), 4, byte(Unknown), 0, 4, 0, 0, 4, 2})
 	}
 	assertClose(t, within*0.05, b.rank(x))
-	b.PeerMessage(1, []byte{byte(wireID >> 8), byte(wireID), 30, 4, byte(Unknown), 0, 4, 0, 0, 4, 200}) // a tenant that is none
+	b.PeerMessage(1, []byte{byte(wireID >> 8), byte(wireID), 30, 4, byte(Unknown), 0, 4, 0, 0, 4, 200}) // an unknown tenant
 	assertClose(t, 20, b.admittedTotal)
 }
 
-// Sharers see less of each other than there is when messages are lost, and who filled up is told of nothing: together they
-// must still not push a cold endpoint over. Who filled up had a whole budget each, and nobody to share it with.
+// Guards against sidecars that overload a cold endpoint together because they do not know of all legs there: messages
+// are lost, and sidecars that use the endpoint only to fill up their subsets get no messages. Each of the latter once
+// had the whole budget and shared it with no other.
 func TestColdBudgetHoldsWhenMessagesAreLost(t *testing.T) {
 	const fleet, took = 40, Millis(50)
-	for _, lostOneIn := range []int{0, 4, 2} { // one in so many
+	for _, lostOneIn := range []int{0, 4, 2} { // one message in so many is lost, 0 for none
 		pool, recorders := make([]*Balancer, fleet), make([]*recorder, fleet)
 		for sidecar := range pool {
 			pool[sidecar], recorders[sidecar] = newPoolBalancer(sidecar, fleet, 1)
@@ -289,10 +300,10 @@
 		ends := map[Millis][]func(){}
 		busyUntil := map[EndpointID]Millis{}
 		deliver := func(sidecar int) {
-			for _, l := range recorders[sidecar].take("tell", "send") {
+			for _, l := range recorders[sidecar].take("notify", "send") {
 				var to int
 				var text []byte
-				if n, _ := fmt.Sscanf(l, "tell %d %x", &to, &text); n == 2 {
+				if n, _ := fmt.Sscanf(l, "notify %d %x", &to, &text); n == 2 {
 					if messages++; lostOneIn == 0 || messages*7919%1000 >= 1000/lostOneIn {
 						pool[to].SetNow(pool[sidecar].now)
 						pool[to].PeerMessage(PeerID(sidecar), text)
@@ -318,7 +329,7 @@
 			}
 			x := ExchangeID(fmt.Sprint("x", n))
 			b.Arrive(x, 0, -1, 0, now+4000, 0, false)
-			if b.exchanges[x] != nil && len(b.exchanges[x].legs) > 0 { // one core, in turn; a cold one takes longer
+			if b.exchanges[x] != nil && len(b.exchanges[x].legs) > 0 { // one core serves legs in order, slower while cold
 				to, work := b.exchanges[x].legs[0].to.id, took
 				if to == "cold" {
 					work = Millis(float64(took) / (0.1 + 0.9*float64(n)/10000))
@@ -336,7 +347,7 @@
 			deliver(sidecar)
 		}
 		assert.Greater(t, len(sent), 5)
-		for i, from := range sent { // in any window of the fall time; cold from 0.1 of 20 a second on
+		for i, from := range sent { // in any fall window; a cold endpoint serves 0.1 of 20 a second at first
 			count := 0
 			for _, at := range sent[i:] {
 				if at < from+1000 {
