--- a/logic/discovery.go
+++ b/logic/discovery.go
@@ -43,7 +43,7 @@
 	// waitRefused is the wait in milliseconds from which on a refused call has stood in a queue.
 	minQueuedRefusal Millis = 300
 	// latencyFade is what is left of the longest latency at the next answer.
-	latencyDecay = 0.5
+	maxLatencyDecay = 0.5
 	// A new configuration that comes less than moveSeries milliseconds after another one is part of a series: its discovery is
 	// called after moveQuiet milliseconds with no further one. Each of a series would cost discovery calls whose answers are of no
 	// use a moment later, and crowd out those that count.
@@ -121,9 +121,9 @@
 	}
 	b.startLease(t)
 	if b.calls.bounds.Reached > 0 {
-		b.setCallDeadline(deadlineReached, b.now+b.calls.bounds.Reached)
+		b.setNotificationDeadline(deadlineReached, b.now+b.calls.bounds.Reached)
 		if t.TakesOver {
-			b.setCallDeadline(deadlineEnded, b.now+b.calls.bounds.Ended)
+			b.setNotificationDeadline(deadlineEnded, b.now+b.calls.bounds.Ended)
 		}
 	}
 	if t.HasList && b.fleet > fleetMinLimit {
@@ -245,7 +245,7 @@
 }
 
 // owe sets a deadline, unless a nearer one of its kind still runs.
-func (b *Balancer) setCallDeadline(kind deadlineKind, at Millis) {
+func (b *Balancer) setNotificationDeadline(kind deadlineKind, at Millis) {
 	if b.calls.deadlines[kind] <= b.now || at < b.calls.deadlines[kind] {
 		b.calls.deadlines[kind] = at
 	}
@@ -253,7 +253,7 @@
 
 // left is the time to the nearest of these deadlines that still runs; infinite for none. One that is over must not hide the
 // next.
-func (b *Balancer) timeLeft(kinds ...deadlineKind) Millis {
+func (b *Balancer) timeToDeadline(kinds ...deadlineKind) Millis {
 	left := Millis(math.Inf(1))
 	for _, kind := range kinds {
 		if at := b.calls.deadlines[kind]; at > b.now {
@@ -283,7 +283,7 @@
 // retryPause is the time from a call's end to the next call, where the back-off alone would give a pause.
 func (b *Balancer) retryPause(pause Millis) Millis {
 	c := &b.calls
-	pause = min(pause, maxRetryPause, max(b.timeLeft(deadlineReached, deadlineMoved, deadlineMovedLast, deadlineEnded)/minRetriesBeforeDeadline, minRetryPause))
+	pause = min(pause, maxRetryPause, max(b.timeToDeadline(deadlineReached, deadlineMoved, deadlineMovedLast, deadlineEnded)/minRetriesBeforeDeadline, minRetryPause))
 	if b.now-c.lastCallAt > minQueuedRefusal {
 		pause = min(pause, maxRetryPauseAfterWait*Millis(b.random()))
 	}
@@ -342,7 +342,7 @@
 func (b *Balancer) ListReceived(latency Millis) {
 	c := &b.calls
 	c.watching, c.openCount = true, 0
-	c.maxLatency, c.minLatency = max(latency, c.maxLatency*latencyDecay), min(latency, c.minLatency)
+	c.maxLatency, c.minLatency = max(latency, c.maxLatency*maxLatencyDecay), min(latency, c.minLatency)
 	c.consecutiveRefusals, c.longestRefusedWait, c.failedSinceList = 0, 0, false
 	c.deadlines, c.nextCallAt = [deadlineKinds]Millis{}, Millis(math.Inf(1))
 	b.leaseListReceived()
@@ -355,10 +355,10 @@
 		return
 	}
 	b.calls.watching = false
-	b.setCallDeadline(deadlineReached, b.now-silentFor+b.calls.bounds.Reached)
-	b.setCallDeadline(deadlineEnded, b.now+b.calls.bounds.Ended)
+	b.setNotificationDeadline(deadlineReached, b.now-silentFor+b.calls.bounds.Reached)
+	b.setNotificationDeadline(deadlineEnded, b.now+b.calls.bounds.Ended)
 	b.listBackoff = b.listBackoffFirst
-	maxJitter := min(Millis(reopenJitter+reopenJitterFleet*(1-b.minLimit)), b.listBackoffFirst, b.timeLeft(deadlineReached)*reopenJitterShare)
+	maxJitter := min(Millis(reopenJitter+reopenJitterFleet*(1-b.minLimit)), b.listBackoffFirst, b.timeToDeadline(deadlineReached)*reopenJitterShare)
 	b.scheduleCall(maxJitter * Millis(b.random()))
 	b.leaseWatchEnded(silentFor, orderly)
 }
@@ -371,7 +371,7 @@
 	b.calls.watching, b.calls.openCount = false, 0
 	b.calls.consecutiveRefusals, b.calls.longestRefusedWait = 0, 0
 	b.leaseDiscoveryMoved()
-	b.setCallDeadline(deadlineMoved, b.now+b.calls.bounds.Moved)
+	b.setNotificationDeadline(deadlineMoved, b.now+b.calls.bounds.Moved)
 	b.calls.deadlines[deadlineMovedLast] = b.now + b.calls.bounds.Moved
 	b.listBackoff = b.listBackoffFirst
 	series := b.now-b.calls.lastMoveAt < moveSeriesGap
@@ -381,7 +381,7 @@
 		return
 	}
 	pause := moveDebounce
-	if b.timeLeft(deadlineMoved) < moveCallReserve {
+	if b.timeToDeadline(deadlineMoved) < moveCallReserve {
 		pause = max(b.calls.lastCallAt+moveDebounce-b.now, 0)
 	}
 	b.scheduleCall(pause)
--- a/logic/discovery_capacity_test.go
+++ b/logic/discovery_capacity_test.go
@@ -33,8 +33,8 @@
 	queuePolicies
 )
 
-func (k queuePolicy) String() string {
-	return [queuePolicies]string{"endless queue", "calls that waited are dropped", "refused at once"}[k]
+func (p queuePolicy) String() string {
+	return [queuePolicies]string{"endless queue", "calls that waited are dropped", "refused at once"}[p]
 }
 
 const (
@@ -285,18 +285,18 @@
 	for policy := range queuePolicies {
 		for _, fleet := range []int{5, 40, 100} {
 			for _, round := range []Millis{1000, 3000, 4800, 8000, 12000} {
-				runs := simulateCapacity(policy, fleet, round, 0, max(120/fleet, 2))
+				results := simulateCapacity(policy, fleet, round, 0, max(120/fleet, 2))
 				name := fmt.Sprintf("%s, fleet of %d, %v ms of work", policy, fleet, round)
-				for _, run := range []struct {
+				for _, event := range []struct {
 					name   string
 					result capacityResult
-				}{{"at the start", runs.atStart}, {"after an outage", runs.afterOutage}, {"after the watches' end", runs.afterWatchEnd}} {
+				}{{"at the start", results.atStart}, {"after an outage", results.afterOutage}, {"after the watches' end", results.afterWatchEnd}} {
 					if round <= 4800 {
-						assert.Zero(t, run.result.late, "%s, %s: %v", name, run.name, &run.result)
+						assert.Zero(t, event.result.late, "%s, %s: %v", name, event.name, &event.result)
 					}
-					assert.Zero(t, run.result.never, "%s, %s: %v", name, run.name, &run.result)
+					assert.Zero(t, event.result.never, "%s, %s: %v", name, event.name, &event.result)
 					lostPosition := round / Millis(fleet)
-					assert.LessOrEqual(t, run.result.lastDelay, round*1.25+lostPosition+capacityMargin, "%s, %s: %v", name, run.name, &run.result)
+					assert.LessOrEqual(t, event.result.lastDelay, round*1.25+lostPosition+capacityMargin, "%s, %s: %v", name, event.name, &event.result)
 				}
 			}
 		}
--- a/logic/discovery_pacing_test.go
+++ b/logic/discovery_pacing_test.go
@@ -52,7 +52,7 @@
 	partialAnswerTimeout    Millis = 500
 	refusalDelay            Millis = 2
 	breakDelay              Millis = 3
-	lightWork               Millis = 3 // of a call to a discovery that is not crowded
+	cheapCallWork           Millis = 3 // of a call to a discovery that is not crowded
 	observationTime         Millis = 20000
 	moveSpread              Millis = 1000 // over which the processes get a new configuration
 	endSpread               Millis = 50   // over which their watches end
@@ -65,7 +65,7 @@
 type pacingCell struct {
 	policy        queuePolicy
 	subscription  bool // a refusal ends all open calls of its process, whatever the queue
-	lightBefore   bool // calls took cheapWork before the event
+	cheapBefore   bool // calls took cheapWork before the event
 	callers       int
 	round         Millis // work of one call of each process
 	event         pacingEvent
@@ -74,7 +74,7 @@
 }
 
 func (c pacingCell) String() string {
-	return fmt.Sprintf("%d,%v,%v,%d,%v,%v,%v,%d", c.policy, c.subscription, c.lightBefore, c.callers, c.round, c.event, c.fault, c.faultyAnswers)
+	return fmt.Sprintf("%d,%v,%v,%d,%v,%v,%v,%d", c.policy, c.subscription, c.cheapBefore, c.callers, c.round, c.event, c.fault, c.faultyAnswers)
 }
 
 // bound is the time after the event within which a list has to be heard.
@@ -130,8 +130,8 @@
 	d := &pacedDiscovery{eventQueue: eventQueue{now: 1000}, pacingCell: cell, rng: rand.New(rand.NewPCG(seed, 61)),
 		work: cell.round / Millis(cell.callers)}
 	before := d.work
-	if cell.lightBefore {
-		before = lightWork
+	if cell.cheapBefore {
+		before = cheapCallWork
 	}
 	for range cell.callers {
 		p := &pacedProcess{Outgoing: discardOutgoing{}, d: d, received: true}
@@ -164,11 +164,11 @@
 	p.calls++
 	c := &pacedCall{process: p, arrivedAt: d.now, fault: answerFaults}
 	p.open = append(p.open, c)
-	switch crowded := d.policy == refuseImmediately && Millis(len(d.waiting))*d.work > queueWaitLimit; {
+	switch overloaded := d.policy == refuseImmediately && Millis(len(d.waiting))*d.work > queueWaitLimit; {
 	case d.down:
 		d.schedule(refusalDelay, func() { d.refuse(c, d.subscription) })
 		return
-	case crowded:
+	case overloaded:
 		d.schedule(refusalDelay, func() { d.refuse(c, true) })
 		return
 	case p.faultsLeft > 0:
@@ -410,7 +410,7 @@
 		for policy := range queuePolicies {
 			for _, subscription := range []bool{false, true} {
 				for _, cheapBefore := range []bool{false, true} {
-					group := pacingCell{policy: policy, subscription: subscription, lightBefore: cheapBefore, event: event}
+					group := pacingCell{policy: policy, subscription: subscription, cheapBefore: cheapBefore, event: event}
 					name := fmt.Sprintf("%v/%v/subscription=%v/cheapBefore=%v", event, policy, subscription, cheapBefore)
 					b.Run(name, func(b *testing.B) {
 						for b.Loop() {
@@ -512,7 +512,7 @@
 
 // BenchmarkReplacementsWithoutWatches is the world of issue 61: the share of changes that are heard late, the calls for a list, and
 // how long behind a watch's end lists are heard.
-func BenchmarkReplacementsWhoseChangesEndWatches(b *testing.B) {
+func BenchmarkChangesThatEndWatches(b *testing.B) {
 	for policy := range queuePolicies {
 		for _, subscription := range []bool{false, true} {
 			for _, work := range []Millis{30, 50, 60, 70, 100} {
@@ -537,7 +537,7 @@
 }
 
 // Where the work of a round leaves room, a change that ends all watches is heard in the time that is owed behind them.
-func TestReplacementsWhoseChangesEndWatchesAreReceivedInTime(t *testing.T) {
+func TestChangesThatEndWatchesAreReceivedInTime(t *testing.T) {
 	for policy := range queuePolicies {
 		for _, subscription := range []bool{false, true} {
 			for _, endWithin := range []Millis{0, 2500} {
--- a/logic/discovery_test.go
+++ b/logic/discovery_test.go
@@ -33,51 +33,51 @@
 }
 
 func newDiscoveryStub(t Terms) *discoveryStub {
-	c := &discoveryStub{Outgoing: discardOutgoing{}, eventQueue: eventQueue{now: 1000}, receivedAt: -1}
+	s := &discoveryStub{Outgoing: discardOutgoing{}, eventQueue: eventQueue{now: 1000}, receivedAt: -1}
 	t.PullList, t.Notified = true, NotificationBounds{Reached: 6000, Moved: 4000, Ended: 2000}
 	t.MaxListWait = 1200
-	c.b = New(t, c, c.now)
-	return c
+	s.b = New(t, s, s.now)
+	return s
 }
 
-func (c *discoveryStub) SetTimer(after Millis, t TimerID) {
+func (s *discoveryStub) SetTimer(after Millis, t TimerID) {
 	if t == 1 {
-		c.schedule(after, func() {
-			c.b.SetNow(c.now)
-			c.b.TimerFired(1)
+		s.schedule(after, func() {
+			s.b.SetNow(s.now)
+			s.b.TimerFired(1)
 		})
 	}
 }
 
-func (c *discoveryStub) Watch() {
-	result, configVersion := answeredCall, c.configVersion
-	if len(c.results) > 0 {
-		result, c.results = c.results[0], c.results[1:]
+func (s *discoveryStub) Watch() {
+	result, configVersion := answeredCall, s.configVersion
+	if len(s.results) > 0 {
+		result, s.results = s.results[0], s.results[1:]
 	}
-	c.callTimes = append(c.callTimes, c.now)
-	c.schedule(result.duration, func() {
-		c.b.SetNow(c.now)
+	s.callTimes = append(s.callTimes, s.now)
+	s.schedule(result.duration, func() {
+		s.b.SetNow(s.now)
 		switch {
-		case configVersion != c.configVersion || c.receivedAt >= 0:
+		case configVersion != s.configVersion || s.receivedAt >= 0:
 		case result.answered:
-			c.receivedAt = c.now
-			c.b.ListEnds(false)
-			c.b.ListReceived(result.duration)
+			s.receivedAt = s.now
+			s.b.ListEnds(false)
+			s.b.ListReceived(result.duration)
 		default:
-			c.b.ListCallFailed()
+			s.b.ListCallFailed()
 		}
 	})
 }
 
-func (c *discoveryStub) simulateUntil(end Millis) {
-	c.eventQueue.runUntil(end)
-	c.b.SetNow(c.now)
+func (s *discoveryStub) simulateUntil(end Millis) {
+	s.eventQueue.runUntil(end)
+	s.b.SetNow(s.now)
 }
 
 // happens starts an event: from here on the next calls have these fates.
-func (c *discoveryStub) startEvent(results []callResult) Millis {
-	c.results, c.receivedAt, c.callTimes = results, -1, nil
-	return c.now
+func (s *discoveryStub) startEvent(results []callResult) Millis {
+	s.results, s.receivedAt, s.callTimes = results, -1, nil
+	return s.now
 }
 
 // Whatever the first three calls meet and however large the fleet, a whole list is heard before a change counts as notified:
@@ -97,61 +97,61 @@
 			for n, order := range orders {
 				name := fmt.Sprintf("fleet of %d, asked within %v, %s, %s, %s", fleet, askWithin, order[0].name, order[1].name, order[2].name)
 				started := func() *discoveryStub {
-					c := newDiscoveryStub(Terms{Seed: uint64(n), Fleet: fleet, AskWithin: askWithin, HasList: n%2 == 0})
-					c.simulateUntil(20000)
-					assert.NotEqual(t, Millis(-1), c.receivedAt, "at the start")
-					return c
+					stub := newDiscoveryStub(Terms{Seed: uint64(n), Fleet: fleet, AskWithin: askWithin, HasList: n%2 == 0})
+					stub.simulateUntil(20000)
+					assert.NotEqual(t, Millis(-1), stub.receivedAt, "at the start")
+					return stub
 				}
-				requireList := func(c *discoveryStub, event string, from, bound Millis) {
-					c.simulateUntil(from + 15000)
-					if assert.NotEqual(t, Millis(-1), c.receivedAt, "%s, %s", event, name) {
-						assert.LessOrEqual(t, c.receivedAt-from, bound, "%s, %s: calls at %v", event, name, c.callTimes)
+				assertReceived := func(stub *discoveryStub, event string, from, bound Millis) {
+					stub.simulateUntil(from + 15000)
+					if assert.NotEqual(t, Millis(-1), stub.receivedAt, "%s, %s", event, name) {
+						assert.LessOrEqual(t, stub.receivedAt-from, bound, "%s, %s: calls at %v", event, name, stub.callTimes)
 					}
 				}
 
-				c := started()
-				from := c.startEvent(order)
-				c.configVersion++
-				c.b.DiscoveryMoved()
-				requireList(c, "a new configuration", from, 4000)
+				stub := started()
+				from := stub.startEvent(order)
+				stub.configVersion++
+				stub.b.DiscoveryMoved()
+				assertReceived(stub, "a new configuration", from, 4000)
 
-				c = started()
-				from = c.startEvent(order)
-				c.b.WatchEnded(0, false)
-				requireList(c, "a watch that ended", from, 6000)
+				stub = started()
+				from = stub.startEvent(order)
+				stub.b.WatchEnded(0, false)
+				assertReceived(stub, "a watch that ended", from, 6000)
 
-				c = started()
-				from = c.startEvent(order)
-				c.b.WatchEnded(2500, false)
-				requireList(c, "a watch that fell silent", from-2500, 6000)
+				stub = started()
+				from = stub.startEvent(order)
+				stub.b.WatchEnded(2500, false)
+				assertReceived(stub, "a watch that fell silent", from-2500, 6000)
 
-				c = started()
-				c.startEvent(down)
-				c.b.WatchEnded(0, false)
-				c.simulateUntil(c.now + 9000 + Millis(37*n))
-				from = c.startEvent(order)
-				requireList(c, "discovery back after a while", from, 6000)
+				stub = started()
+				stub.startEvent(down)
+				stub.b.WatchEnded(0, false)
+				stub.simulateUntil(stub.now + 9000 + Millis(37*n))
+				from = stub.startEvent(order)
+				assertReceived(stub, "discovery back after a while", from, 6000)
 
-				c = started()
-				c.startEvent(down)
-				c.b.WatchEnded(0, false)
-				c.simulateUntil(c.now + 9000 + Millis(37*n))
-				from = c.startEvent(order)
-				c.configVersion++
-				c.b.DiscoveryMoved()
-				requireList(c, "a new configuration while discovery is down", from, 4000)
+				stub = started()
+				stub.startEvent(down)
+				stub.b.WatchEnded(0, false)
+				stub.simulateUntil(stub.now + 9000 + Millis(37*n))
+				from = stub.startEvent(order)
+				stub.configVersion++
+				stub.b.DiscoveryMoved()
+				assertReceived(stub, "a new configuration while discovery is down", from, 4000)
 
-				c = started()
-				c.startEvent([]callResult{unansweredCall, unansweredCall, unansweredCall, unansweredCall})
+				stub = started()
+				stub.startEvent([]callResult{unansweredCall, unansweredCall, unansweredCall, unansweredCall})
 				for range 4 {
-					c.configVersion++
-					c.b.DiscoveryMoved()
-					c.simulateUntil(c.now + 350)
+					stub.configVersion++
+					stub.b.DiscoveryMoved()
+					stub.simulateUntil(stub.now + 350)
 				}
-				from = c.startEvent(order[:2])
-				c.configVersion++
-				c.b.DiscoveryMoved()
-				requireList(c, "new configurations in a row", from, 4000)
+				from = stub.startEvent(order[:2])
+				stub.configVersion++
+				stub.b.DiscoveryMoved()
+				assertReceived(stub, "new configurations in a row", from, 4000)
 			}
 		}
 	}
@@ -159,24 +159,24 @@
 
 // New configurations that go on coming don't put off the call for ever, nor does each of them make one.
 func TestContinuousNewConfigurationsNeitherPostponeNorMultiplyCalls(t *testing.T) {
-	c := newDiscoveryStub(Terms{Fleet: 6, AskWithin: 10000})
-	c.simulateUntil(20000)
-	from := c.startEvent(nil)
+	stub := newDiscoveryStub(Terms{Fleet: 6, AskWithin: 10000})
+	stub.simulateUntil(20000)
+	from := stub.startEvent(nil)
 	for range 200 {
-		c.configVersion++ // no call lives long enough to be answered
-		c.b.DiscoveryMoved()
-		c.simulateUntil(c.now + 150)
+		stub.configVersion++ // no call lives long enough to be answered
+		stub.b.DiscoveryMoved()
+		stub.simulateUntil(stub.now + 150)
 	}
 	last := from
-	for _, at := range c.callTimes {
-		assert.LessOrEqual(t, at-last, Millis(2400), "calls at %v", c.callTimes)
+	for _, at := range stub.callTimes {
+		assert.LessOrEqual(t, at-last, Millis(2400), "calls at %v", stub.callTimes)
 		last = at
 	}
-	assert.LessOrEqual(t, len(c.callTimes), 30000/int(moveDebounce)+1)
-	assert.GreaterOrEqual(t, len(c.callTimes), 12)
-	last = c.now
-	c.simulateUntil(c.now + 4000)
-	assert.GreaterOrEqual(t, c.receivedAt, last)
+	assert.LessOrEqual(t, len(stub.callTimes), 30000/int(moveDebounce)+1)
+	assert.GreaterOrEqual(t, len(stub.callTimes), 12)
+	last = stub.now
+	stub.simulateUntil(stub.now + 4000)
+	assert.GreaterOrEqual(t, stub.receivedAt, last)
 }
 
 // One call that fails leaves time for another before a watch's end counts: 2 s.
@@ -184,12 +184,12 @@
 	for _, fleet := range []int{1, 6, 30, 350} {
 		for seed := range uint64(20) {
 			for _, result := range []callResult{refusedCall, truncatedCall, unansweredCall} {
-				c := newDiscoveryStub(Terms{Seed: seed, Fleet: fleet, AskWithin: 10000})
-				c.simulateUntil(20000)
-				from := c.startEvent([]callResult{result})
-				c.b.WatchEnded(0, false)
-				c.simulateUntil(from + 10000)
-				assert.LessOrEqual(t, c.receivedAt-from, Millis(2300), "fleet of %d, %s: calls at %v", fleet, result.name, c.callTimes)
+				stub := newDiscoveryStub(Terms{Seed: seed, Fleet: fleet, AskWithin: 10000})
+				stub.simulateUntil(20000)
+				from := stub.startEvent([]callResult{result})
+				stub.b.WatchEnded(0, false)
+				stub.simulateUntil(from + 10000)
+				assert.LessOrEqual(t, stub.receivedAt-from, Millis(2300), "fleet of %d, %s: calls at %v", fleet, result.name, stub.callTimes)
 			}
 		}
 	}
@@ -198,66 +198,66 @@
 // Discovery does the work of every call that is made, also of those given up: where it answers, each process makes one call, and
 // configurations in quick succession do not make a call each.
 func TestNoUnnecessaryCallsToDiscovery(t *testing.T) {
-	c := newDiscoveryStub(Terms{Fleet: 6, AskWithin: 10000})
-	c.simulateUntil(20000)
-	c.startEvent(nil)
-	c.b.WatchEnded(0, false)
-	c.simulateUntil(c.now + 5000)
-	assert.Len(t, c.callTimes, 1, "one call is enough")
-	c.startEvent(nil)
+	stub := newDiscoveryStub(Terms{Fleet: 6, AskWithin: 10000})
+	stub.simulateUntil(20000)
+	stub.startEvent(nil)
+	stub.b.WatchEnded(0, false)
+	stub.simulateUntil(stub.now + 5000)
+	assert.Len(t, stub.callTimes, 1, "one call is enough")
+	stub.startEvent(nil)
 	for range 12 {
-		c.receivedAt = -1
-		c.configVersion++
-		c.b.DiscoveryMoved()
-		c.simulateUntil(c.now + 200)
+		stub.receivedAt = -1
+		stub.configVersion++
+		stub.b.DiscoveryMoved()
+		stub.simulateUntil(stub.now + 200)
 	}
-	assert.LessOrEqual(t, len(c.callTimes), 3, "a series of 2.4 s makes few calls")
-	c.simulateUntil(c.now + 5000)
-	assert.NotEqual(t, Millis(-1), c.receivedAt)
+	assert.LessOrEqual(t, len(stub.callTimes), 3, "a series of 2.4 s makes few calls")
+	stub.simulateUntil(stub.now + 5000)
+	assert.NotEqual(t, Millis(-1), stub.receivedAt)
 	slow := callResult{duration: 2400, answered: true}
-	c.startEvent([]callResult{slow, slow, slow, slow})
-	c.b.WatchEnded(0, false)
-	c.simulateUntil(c.now + 9000)
-	first := len(c.callTimes)
-	c.startEvent([]callResult{slow, slow, slow, slow})
-	c.b.WatchEnded(0, false)
-	c.simulateUntil(c.now + 9000)
-	assert.Less(t, len(c.callTimes), first, "a crowded discovery gets fewer calls")
+	stub.startEvent([]callResult{slow, slow, slow, slow})
+	stub.b.WatchEnded(0, false)
+	stub.simulateUntil(stub.now + 9000)
+	first := len(stub.callTimes)
+	stub.startEvent([]callResult{slow, slow, slow, slow})
+	stub.b.WatchEnded(0, false)
+	stub.simulateUntil(stub.now + 9000)
+	assert.Less(t, len(stub.callTimes), first, "a crowded discovery gets fewer calls")
 }
 
 // However long no call is answered, only a few are open at a time, and they go on.
 func TestOpenCallsAreBounded(t *testing.T) {
-	c := newDiscoveryStub(Terms{Fleet: 6, AskWithin: 10000})
-	c.simulateUntil(20000)
+	stub := newDiscoveryStub(Terms{Fleet: 6, AskWithin: 10000})
+	stub.simulateUntil(20000)
 	unanswered := make([]callResult, 100)
 	for n := range unanswered {
 		unanswered[n] = unansweredCall
 	}
-	from := c.startEvent(unanswered)
-	c.b.WatchEnded(0, false)
-	c.simulateUntil(from + 60000)
-	for n, at := range c.callTimes {
+	from := stub.startEvent(unanswered)
+	stub.b.WatchEnded(0, false)
+	stub.simulateUntil(from + 60000)
+	for n, at := range stub.callTimes {
 		open := 0
-		for _, earlier := range c.callTimes[:n] {
+		for _, earlier := range stub.callTimes[:n] {
 			if earlier+unansweredCall.duration > at {
 				open++
 			}
 		}
 		assert.Less(t, open, MaxOpenCalls)
 	}
-	assert.Greater(t, len(c.callTimes), 30)
-	assert.LessOrEqual(t, len(c.callTimes), 60)
+	assert.Greater(t, len(stub.callTimes), 30)
+	assert.LessOrEqual(t, len(stub.callTimes), 60)
 }
 
 // An agent that serves one process has no queue of others: a call that it does not answer is soon followed by another.
 func TestASoleCallerRepeatsAnUnansweredCallSoon(t *testing.T) {
 	for _, fleet := range []int{1, 350} {
-		c := newDiscoveryStub(Terms{Fleet: fleet, AskWithin: 125, SoleCaller: true})
-		c.simulateUntil(20000)
-		from := c.startEvent([]callResult{unansweredCall, unansweredCall})
-		c.b.WatchEnded(0, false)
-		c.simulateUntil(from + 10000)
-		assert.LessOrEqual(t, c.receivedAt-from, minParallelCallDelay+parallelCallSpacing+500, "fleet of %d: calls at %v", fleet, c.callTimes)
+		stub := newDiscoveryStub(Terms{Fleet: fleet, AskWithin: 125, SoleCaller: true})
+		stub.simulateUntil(20000)
+		from := stub.startEvent([]callResult{unansweredCall, unansweredCall})
+		stub.b.WatchEnded(0, false)
+		stub.simulateUntil(from + 10000)
+		assert.LessOrEqual(t, stub.receivedAt-from, minParallelCallDelay+parallelCallSpacing+500, "fleet of %d: calls at %v", fleet, stub.callTimes)
 	}
 }
 
