--- a/internal/callqueue/callqueue.go
+++ b/internal/callqueue/callqueue.go
@@ -1,5 +1,5 @@
-// Package callqueue is the queue of calls at a stand-in of discovery: it works through them in turn, a fixed work each, and does
-// the work of those that were given up too. Tests and rehearsals put it before a list service. It knows nothing of lists.
+// Package callqueue models the queue of calls at a discovery service: calls are served in order, each takes a fixed amount of work,
+// and the work of abandoned calls is done too. Tests and scenario runs put it in front of a list service. It knows nothing of lists.
 package callqueue
 
 import (
@@ -9,49 +9,50 @@
 	"time"
 )
 
-// ErrRefused is that of a call which gets no answer: the queue is too long, or discovery is down.
+// ErrRefused is returned for a call that gets no answer because the queue is too long or discovery is down.
 var ErrRefused = errors.New("call refused")
 
-// Policy is what becomes of calls that would wait longer than the queue's patience.
+// Policy says what happens to calls that would wait longer than the longest wait of the queue.
 type Policy int
 
 const (
-	// Wait has each call wait for its turn.
+	// Wait lets each call wait for its turn.
 	Wait Policy = iota
-	// Drop refuses a call that has waited for the patience.
+	// Drop refuses a call once it has waited for the longest wait.
 	Drop
-	// Refuse refuses at once a call that would wait longer, and the other calls of its caller with it.
+	// Refuse refuses at once a call that would wait longer than the longest wait, and with it the other calls of its caller.
 	Refuse
-	// Policies is how many there are.
+	// NumPolicies is the number of policies.
 	NumPolicies
 )
 
-// Queue is the queue of one discovery. It may be used from any goroutine.
+// Queue is the queue of one discovery service. It is safe for concurrent use.
 type Queue struct {
 	work    time.Duration
 	maxWait time.Duration
 	policy  Policy
 
 	mu        sync.Mutex
-	calls     []*call // the first is in work
+	calls     []*call // the first one is being served
 	down      bool
 	callCount int
 }
 
-// call is one in the queue. Its place and its work stay when it is refused or given up.
+// call is a call in the queue. It keeps its position and its work when it is refused or abandoned.
 type call struct {
 	caller  string
-	done    chan struct{} // closed when its turn is over, or it is refused
+	done    chan struct{} // closed when the call is served or refused
 	refused bool
 	settled bool
 }
 
-// New is an empty queue; work is that of each call, and patience is of no use to Wait.
+// New returns an empty queue. work is the time that each call takes; the policy Wait ignores maxWait.
 func New(work, maxWait time.Duration, policy Policy) *Queue {
 	return &Queue{work: work, maxWait: maxWait, policy: policy}
 }
 
-// Take waits until discovery has done a call's work. It returns ErrRefused, or the context's error where the caller has given up.
+// Take enqueues a call and waits until it is served. It returns ErrRefused if the call is refused, or the context's error if the
+// caller gives up before.
 func (q *Queue) Take(ctx context.Context, caller string) error {
 	c, err := q.enqueue(caller)
 	if err != nil {
@@ -79,7 +80,7 @@
 	}
 }
 
-// join puts a call at the end of the queue, or refuses it.
+// enqueue appends a call to the queue or refuses it.
 func (q *Queue) enqueue(caller string) (*call, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -102,12 +103,12 @@
 	return c, nil
 }
 
-// finish ends the work of the first call and begins that of the next.
+// finish completes the first call and starts the work of the next.
 func (q *Queue) finish() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.calls) == 0 {
-		return // the queue went down meanwhile
+		return // cannot happen: only finish removes the first call
 	}
 	q.calls[0].settle(false)
 	if q.calls = q.calls[1:]; len(q.calls) > 0 {
@@ -115,7 +116,7 @@
 	}
 }
 
-// drop refuses a call whose work has not begun; it costs none then.
+// drop refuses a call whose work has not begun and removes it from the queue, so that it costs no work.
 func (q *Queue) drop(c *call) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -137,7 +138,7 @@
 	}
 }
 
-// Down refuses all calls, those that wait too, until Up.
+// Down refuses all queued calls, and all new ones until Up.
 func (q *Queue) Down() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -147,14 +148,14 @@
 	}
 }
 
-// Up takes calls again. Those from before Down are forgotten.
+// Up accepts calls again. Calls from before Down are no longer counted.
 func (q *Queue) Up() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.down, q.callCount = false, 0
 }
 
-// Made is how many calls were made since the queue began, or came Up.
+// CallCount returns the number of calls made since the queue was created or last came Up.
 func (q *Queue) CallCount() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/callqueue/callqueue_test.go
+++ b/internal/callqueue/callqueue_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// waits makes so many calls of one caller each, at once, and returns how long each waited; negative where it was refused.
+// waitTimes makes count calls at once, each of its own caller, and returns how long each waited. The time of a refused call is
+// negative, less 1 ns.
 func waitTimes(t *testing.T, q *Queue, count int) (waited []time.Duration) {
 	results := make(chan time.Duration, count)
 	for n := range count {
@@ -46,7 +47,7 @@
 	}
 }
 
-// A call that is given up is worked for all the same, and one that is refused ends its caller's other calls.
+// The work of an abandoned call is done nevertheless, and a refused call ends the other calls of its caller.
 func TestAbandonedCallsKeepTheirQueuePositions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := New(time.Second, 1500*time.Millisecond, Refuse)
@@ -57,12 +58,12 @@
 		first := make(chan error, 1)
 		go func() { first <- q.Take(t.Context(), "b") }()
 		synctest.Wait()
-		assert.ErrorIs(t, q.Take(t.Context(), "b"), ErrRefused, "two are in the queue")
+		assert.ErrorIs(t, q.Take(t.Context(), "b"), ErrRefused, "two calls are in the queue")
 		assert.ErrorIs(t, <-first, ErrRefused)
 		time.Sleep(1100 * time.Millisecond)
 		began := time.Now()
 		assert.NoError(t, q.Take(t.Context(), "c"))
-		assert.Equal(t, 1900*time.Millisecond, time.Since(began), "behind the place of b")
+		assert.Equal(t, 1900*time.Millisecond, time.Since(began), "after the work of the refused call of b")
 		q.Down()
 		assert.ErrorIs(t, q.Take(t.Context(), "c"), ErrRefused)
 		q.Up()
--- a/logic/discovery.go
+++ b/logic/discovery.go
@@ -1,115 +1,137 @@
-// When discovery is called for the list of endpoints. Decided from the calls that failed, the lists that came, watches that
-// ended, new configurations, and the spans after which a change counts as notified. It must never judge what a list says.
+// This file decides when discovery is called, that is, when the list of endpoints is requested. The inputs are failed calls,
+// received lists, ended watches, new configurations and the bounds after which a change of the list counts as notified. The code
+// here must never judge the contents of a list.
 //
-// All those spans are kept as deadlines in one place, and the nearest that is not over yet sets the pace: a change may be owed
-// under several at once, and the parts of a call (connect, first byte, rest of the line, pause, jitter) add up.
+// Each bound that applies is kept as a deadline, all in one place, and calls are paced by the nearest deadline that has not
+// passed: several deadlines may apply to one change, and the parts of a call (connect, first byte, rest of the line, pause,
+// jitter) add up.
 //
-// Two limits pull against each other. A call that nobody answers must not hold up the next one, so that further calls are made
-// while it is open. But discovery works through its calls in turn and does the work of those that were given up too, and it may
-// refuse what would wait long and end the process's other calls with that: further calls can fill the queue that they wait in.
-// So an open call keeps its place and is left the time of a queue before a further one is made. A call that was refused after a
-// wait shows a queue longer than that, and the time is then taken from its wait.
+// Two requirements conflict. A call that is never answered must not delay the next one, so further calls are made while it is
+// open ("parallel calls" below). But discovery serves its calls in order and also does the work of abandoned ones, and it may
+// refuse calls that would wait long and then end the other calls of the same process too: parallel calls can fill the very queue
+// that they wait in. Therefore an open call keeps its queue position, and a parallel call is made only after the time that a
+// queue may take. If a call is refused after a wait, the queue is longer than that, and the time is derived from this wait.
+
 package logic
 
 import "math"
 
 const (
-	// AnswerPatience is how long in milliseconds a call is kept open that has told nothing: far longer than a queue at discovery
-	// that is not lost altogether. The next call would stand at its end.
+	// AnswerTimeout is how long a call is kept open without an answer, in milliseconds. It is far longer than a queue at a
+	// discovery service that still makes progress: the call that replaces an abandoned one starts at the end of that queue.
 	AnswerTimeout Millis = 30000
 
-	// A further call is made when an open one has waited for furtherAfter times the work of a round of the whole fleet, as far
-	// as that is known: for furtherSoon at least, and at most for queueWait and the work of the call itself. A service refuses
-	// calls that would wait longer than that, as far as we have met one. unknownWork stands for the work before the first answer;
-	// where callers are many it is less: a round of the fleet takes no longer than unknownRound times Reached.
-	parallelCallRounds          = 1.5
+	// parallelCallRounds is the time that an open call is given before a parallel call is made, in rounds. A round is the work
+	// of one call of each process of the fleet, as far as that is known.
+	parallelCallRounds = 1.5
+	// minParallelCallDelay is the shortest time that an open call is given before a parallel call is made.
 	minParallelCallDelay Millis = 1100
-	maxQueueWait         Millis = 3050
-	assumedCallWork      Millis = 1950
-	assumedRoundRatio           = 2.0
-	refusedWaitFactor           = 2.0 // in times of the wait after which a call was refused
-	// Once a call has waited for so long a queue is no reason any more, and further ones follow one another in furtherSpacing.
+	// maxQueueWait, plus the work of the call itself, is the longest time that an open call is given before a parallel call is
+	// made. The discovery services met so far refuse calls that would wait longer.
+	maxQueueWait Millis = 3050
+	// assumedCallWork is the assumed work of a call before the first answer.
+	assumedCallWork Millis = 1950
+	// assumedRoundRatio lowers assumedCallWork where there are many callers: a round is then assumed to take no longer than
+	// this multiple of NotificationBounds.Reached.
+	assumedRoundRatio = 2.0
+	// refusedWaitFactor is the time that an open call is given after others were refused while queued, as a multiple of the
+	// longest wait after which one was refused.
+	refusedWaitFactor = 2.0
+	// parallelCallSpacing is the time between parallel calls once a call has waited longer than a queue can explain.
 	parallelCallSpacing Millis = 600
-	// faultsInARow is how many calls in a row may meet a fault of their own while discovery is well. More that are refused show
-	// that it is down or crowded; then a change counts from the last of these.
+	// maxConsecutiveFaults is how many consecutive calls may fail by faults of their own while discovery is healthy. More
+	// consecutive refusals show that it is down or overloaded; the bound Reached then runs from the last refusal.
 	maxConsecutiveFaults = 3
-	// Before a deadline that is known there is time for faultsInARow further calls, deadlineSpacing apart, whatever the queue.
-	// That costs a queue places: it is not done where the work of a call is over deadlineWorkMost.
+	// deadlineCallSpacing is the spacing of the maxConsecutiveFaults parallel calls that are made before a known deadline,
+	// however long the queue may be.
 	deadlineCallSpacing Millis = 300
-	movedCallSpacing    Millis = 600 // the same behind a new configuration, which leaves less time than a queue may take
+	// movedCallSpacing replaces deadlineCallSpacing after a new configuration, which leaves less time than a queue may take.
+	movedCallSpacing Millis = 600
+	// maxDeadlineCallWork is the work of a call above which no parallel calls are made before a deadline, as they take up
+	// positions in the queue.
 	maxDeadlineCallWork Millis = 2000
-	// endedLatencyMost is the latency up to which a call made when a watch's end counts as notified is answered within the grace.
+	// maxEndedCallLatency is the latency up to which a call that is made at the deadline after a watch's end is still answered
+	// within the grace period.
 	maxEndedCallLatency Millis = 500
-	// waitRefused is the wait in milliseconds from which on a refused call has stood in a queue.
+	// minQueuedRefusal is the wait in milliseconds from which a refused call counts as queued, not as refused at once.
 	minQueuedRefusal Millis = 300
-	// latencyFade is what is left of the longest latency at the next answer.
+	// maxLatencyDecay is the factor by which the highest latency decays with each answer.
 	maxLatencyDecay = 0.5
-	// A new configuration that comes less than moveSeries milliseconds after another one is part of a series: its discovery is
-	// called after moveQuiet milliseconds with no further one. Each of a series would cost discovery calls whose answers are of no
-	// use a moment later, and crowd out those that count.
+	// moveSeriesGap is the time in milliseconds within which a new configuration that follows another one belongs to a series.
+	// The calls for each configuration of a series would cost discovery work for answers that are obsolete a moment later, and
+	// would displace the calls that matter.
 	moveSeriesGap Millis = 1500
-	moveDebounce  Millis = 700
-	// Of the time that the first of a series leaves, so many milliseconds are kept for calls: then they are made moveQuiet apart.
+	// moveDebounce is the time in milliseconds without a further configuration after which the new discovery of a series is
+	// called.
+	moveDebounce Millis = 700
+	// moveCallReserve is the time in milliseconds before the deadline of a series' first configuration that is reserved for
+	// calls: they are then made moveDebounce apart although the series goes on.
 	moveCallReserve Millis = 2500
-	// OpenCallsMost bounds the calls to one discovery that are open at once: one, and faultsInARow further ones.
+	// MaxOpenCalls bounds the calls to one discovery service that are open at once: one, and maxConsecutiveFaults parallel calls.
 	MaxOpenCalls = maxConsecutiveFaults + 1
-	// OpenCallsSuspended is that bound while attempts are suspended, when nothing is served until a list is heard.
+	// MaxOpenCallsSuspended replaces MaxOpenCalls while legs are suspended and nothing is served until a list is received.
 	MaxOpenCallsSuspended = 10
-	// openCallsPause is the time in milliseconds after which the newest of these gives way to another, so that a discovery which
-	// answers new calls only is heard in time. The older ones keep their places.
+	// openCallReplaceInterval is the time in milliseconds after which the newest of MaxOpenCalls open calls is replaced by a new
+	// one, so that a list is received in time from a discovery service that answers only new calls. The older calls keep their
+	// queue positions.
 	openCallReplaceInterval Millis = 4500
-	// retriesBeforeOwed is how many calls that fail at once have to fit before the deadline.
+	// minRetriesBeforeDeadline is how many retries must fit before the deadline if every call fails at once.
 	minRetriesBeforeDeadline = 4
-	// The pause in milliseconds behind a call that was refused at once is leastRetry to mostRetry. One that broke off or was
-	// refused after a wait has lost time enough: the next follows in up to brokenRetry.
-	minRetryPause          Millis = 250
-	maxRetryPause          Millis = 800
+	// minRetryPause is the value in milliseconds below which minRetriesBeforeDeadline does not shorten the pause between calls.
+	minRetryPause Millis = 250
+	// maxRetryPause is the longest pause in milliseconds after a call that was refused at once.
+	maxRetryPause Millis = 800
+	// maxRetryPauseAfterWait is the longest pause in milliseconds after a call that broke off or was refused after a wait, and
+	// so has lost time already.
 	maxRetryPauseAfterWait Millis = 150
-	// Watches of a fleet that end together are opened anew over so many milliseconds: up to the first figure for a few
-	// processes, up to both together for many.
-	reopenJitter, reopenJitterFleet = 100.0, 700.0
-	reopenJitterShare               = 1.0 / 8 // and that at most of the time that is left
+	// reopenJitter is the longest delay in milliseconds before watches that ended together are reopened in a small fleet.
+	reopenJitter = 100.0
+	// reopenJitterFleet is added to reopenJitter in a large fleet, and in part in a smaller one.
+	reopenJitterFleet = 700.0
+	// reopenJitterShare limits the jitter to a share of the time that is left to the deadline.
+	reopenJitterShare = 1.0 / 8
 )
 
-// NotificationBounds are the spans after which a change of the list counts as notified, in milliseconds of real time. Where
-// Reached is 0 no span is known, each call gets one answer, and calls follow one another with the back-off only.
+// NotificationBounds holds the times after which this process counts as notified of a change of the list, whether or not it has
+// received the change, in milliseconds of real time. If Reached is 0, no bounds are known: each call gets one answer, and the
+// time between calls is the back-off alone.
 type NotificationBounds struct {
 	Reached Millis // after discovery had the change and could be reached
 	Moved   Millis // after a new configuration named another discovery
 	Ended   Millis // after a watch ended
 }
 
-// deadline is why a change that was missed will count as notified.
+// deadlineKind is the event that sets the deadline at which a missed change counts as notified.
 type deadlineKind int
 
 const (
-	deadlineReached   deadlineKind = iota
-	deadlineMoved                  // by the first of the new configurations that have no list yet
-	deadlineMovedLast              // by the last of them
-	deadlineEnded
+	deadlineReached   deadlineKind = iota // discovery had the change and could be reached
+	deadlineMoved                         // the first of the new configurations without a list so far
+	deadlineMovedLast                     // the last of the new configurations without a list so far
+	deadlineEnded                         // the end of a watch
 	deadlineKinds
 )
 
-// discoveryCalls is what is known of the calls for the list.
+// discoveryCalls is the state of the calls for the list.
 type discoveryCalls struct {
 	bounds       NotificationBounds
-	callers      Millis                // processes that share discovery
-	watching     bool                  // a watch of the discovery in force has told a list and has not ended
-	deadlines    [deadlineKinds]Millis // when a change that was missed counts as notified; zero for never
-	nextCallAt   Millis                // of the next call; infinite for none
-	lastMoveAt   Millis                // when the last new configuration came
-	lastCallAt   Millis                // when the last call was made
-	oldestOpenAt Millis                // since when the oldest open call waits, or one of before that was not refused
-	openCount    int                   // calls to the discovery in force that may yet be answered
-	maxLatency   Millis                // latency of answered calls, fading
-	minLatency   Millis                // latency of the fastest answered call; infinite for none
-	// Since the last list: calls in a row that were refused at once, and the longest time after which one was refused.
-	consecutiveRefusals int
-	longestRefusedWait  Millis
-	failedSinceList     bool // a call has ended with no list since the last one
+	callers      Millis                // number of processes that share discovery
+	watching     bool                  // a watch of the current discovery has delivered a list and has not ended
+	deadlines    [deadlineKinds]Millis // when a missed change counts as notified; zero for never
+	nextCallAt   Millis                // infinite for none
+	lastMoveAt   Millis                // when the last new configuration arrived
+	lastCallAt   Millis
+	oldestOpenAt Millis // when the oldest open call was made, or an earlier one that has failed since
+	openCount    int    // calls to the current discovery that may still be answered
+	maxLatency   Millis // highest latency of answered calls, decaying with each answer
+	minLatency   Millis // lowest latency of an answered call; infinite for none
+
+	consecutiveRefusals int    // consecutive calls that were refused at once, since the last list or new configuration
+	longestRefusedWait  Millis // longest wait after which a call was refused, since the last list or new configuration
+	failedSinceList     bool   // a call has ended without a list since the last list
 }
 
-// startCalls makes the first call, or sets its time.
+// startCalls makes the first call or schedules it.
 func (b *Balancer) startCalls(t Terms) {
 	never := Millis(math.Inf(1))
 	b.calls = discoveryCalls{bounds: t.Notified, callers: Millis(b.fleet), nextCallAt: never, lastMoveAt: -never, minLatency: never}
@@ -127,13 +149,13 @@
 		}
 	}
 	if t.HasList && b.fleet > fleetMinLimit {
-		b.scheduleCall(b.listBackoffFirst * Millis(b.random())) // most of a fleet may have been restarted with us
+		b.scheduleCall(b.listBackoffFirst * Millis(b.random())) // most of the fleet may have been restarted at the same time
 		return
 	}
 	b.callNow()
 }
 
-// call starts a call now and sets the time of the next, should this one stay without an answer.
+// callNow makes a call and schedules the next one in case this one is not answered.
 func (b *Balancer) callNow() {
 	c := &b.calls
 	c.lastCallAt = b.now
@@ -150,10 +172,10 @@
 	b.scheduleCall(b.nextParallelCall() - b.now)
 }
 
-// furtherCall is when a further call is made, if none of the open ones is answered before.
+// nextParallelCall returns when a parallel call is made unless an open call is answered before.
 func (b *Balancer) nextParallelCall() Millis {
 	c := &b.calls
-	if b.lease.suspended { // a queue that refuses calls would have refused the open ones by now
+	if b.lease.suspended { // a service that refuses queued calls would have refused the open ones by now
 		return c.lastCallAt + max(parallelCallSpacing, c.longestRefusedWait*refusedWaitFactor)
 	}
 	if c.openCount >= MaxOpenCalls {
@@ -161,12 +183,12 @@
 	}
 	at := max(c.oldestOpenAt+b.expectedQueueTime(), c.lastCallAt+parallelCallSpacing)
 	if c.longestRefusedWait > 0 || c.minLatency > maxDeadlineCallWork && !math.IsInf(float64(c.minLatency), 1) {
-		return at // discovery is crowded, or one call more is too much for it
+		return at // discovery is overloaded, or one more call would cost it too much
 	}
 	at = min(at, b.nextSlotBefore(deadlineMoved, movedCallSpacing), b.nextSlotBefore(deadlineMovedLast, movedCallSpacing))
 	beforeReached := b.nextSlotBefore(deadlineReached, deadlineCallSpacing)
 	if math.IsInf(float64(c.minLatency), 1) {
-		beforeReached = max(beforeReached, c.oldestOpenAt+maxQueueWait) // the whole fleet may have started with us
+		beforeReached = max(beforeReached, c.oldestOpenAt+maxQueueWait) // the whole fleet may have started at the same time
 	}
 	at = min(at, beforeReached)
 	if end := c.deadlines[deadlineEnded]; end > b.now && c.consecutiveRefusals == 0 && b.endedCallUseful() {
@@ -175,7 +197,7 @@
 	return at
 }
 
-// openCallsMost is how many calls may be open now; beyond that the newest gives way.
+// maxOpenCalls returns how many calls may be open now. Above that, the newest call is replaced.
 func (b *Balancer) maxOpenCalls() int {
 	if b.lease.suspended {
 		return MaxOpenCallsSuspended
@@ -183,29 +205,29 @@
 	return MaxOpenCalls
 }
 
-// hastenCall makes the next call earlier, if the time of a further one comes before.
+// advanceNextCall moves the next call forward if a parallel call is due earlier.
 func (b *Balancer) advanceNextCall() {
 	if next := b.nextParallelCall(); next < b.calls.nextCallAt {
 		b.scheduleCall(max(next-b.now, 0))
 	}
 }
 
-// endedCallHelps tells whether a further call when a watch's end counts as notified may be answered in time, or makes up for an answer
-// that was at fault. Any other only lengthens the queue that the fleet's calls wait in.
+// endedCallUseful reports whether a parallel call at the deadline after a watch's end may still be answered in time, or can make
+// up for a faulty answer. Any other call would only lengthen the queue in which the fleet's calls wait.
 func (b *Balancer) endedCallUseful() bool {
 	c := &b.calls
 	return c.maxLatency <= maxEndedCallLatency || c.failedSinceList && c.maxLatency*parallelCallRounds <= c.bounds.Ended
 }
 
-// queueTime is how long an open call may stand in discovery's queue: the work of a round of the whole fleet, if that is known. The
-// shortest latency is the work of a call, or more.
+// expectedQueueTime returns how long an open call may wait in discovery's queue. It follows from the work of a round of the whole
+// fleet, as far as that is known: the lowest latency is an upper bound of the work of one call.
 func (b *Balancer) expectedQueueTime() Millis {
 	c := &b.calls
 	work := c.minLatency
 	switch {
 	case !math.IsInf(float64(work), 1):
 	case c.callers == 1:
-		work = 0 // no others wait there
+		work = 0 // no other process is in the queue
 	default:
 		work = min(assumedCallWork, assumedRoundRatio*c.bounds.Reached/c.callers)
 	}
@@ -216,7 +238,7 @@
 	return min(max(work*c.callers*parallelCallRounds, minParallelCallDelay), limit)
 }
 
-// slotBefore is the next of the times shortly before a deadline at which further calls are made; infinite for none.
+// nextSlotBefore returns the next of the times shortly before a deadline at which parallel calls are made; infinite for none.
 func (b *Balancer) nextSlotBefore(kind deadlineKind, spacing Millis) Millis {
 	end := b.calls.deadlines[kind]
 	for n := maxConsecutiveFaults; n > 0; n-- {
@@ -227,13 +249,14 @@
 	return Millis(math.Inf(1))
 }
 
-// callAfter sets the time of the next call in place of any other.
+// scheduleCall sets the time of the next call, replacing any that was set before.
 func (b *Balancer) scheduleCall(pause Millis) {
 	b.calls.nextCallAt = b.now + pause
 	b.SetTimer(pause, 1)
 }
 
-// callDue makes the call whose time has come; the alarm may be that of a time that was set before.
+// callTimerFired makes the call that is due. If bounds are known, it ignores timers while a watch is open and timers whose call has
+// been rescheduled.
 func (b *Balancer) callTimerFired() {
 	switch {
 	case b.calls.bounds.Reached <= 0:
@@ -244,15 +267,15 @@
 	}
 }
 
-// owe sets a deadline, unless a nearer one of its kind still runs.
+// setNotificationDeadline sets a deadline unless an earlier one of the same kind has not passed yet.
 func (b *Balancer) setNotificationDeadline(kind deadlineKind, at Millis) {
 	if b.calls.deadlines[kind] <= b.now || at < b.calls.deadlines[kind] {
 		b.calls.deadlines[kind] = at
 	}
 }
 
-// left is the time to the nearest of these deadlines that still runs; infinite for none. One that is over must not hide the
-// next.
+// timeToDeadline returns the time to the nearest of these deadlines that has not passed; infinite for none. A deadline that has passed
+// must not hide the next one.
 func (b *Balancer) timeToDeadline(kinds ...deadlineKind) Millis {
 	left := Millis(math.Inf(1))
 	for _, kind := range kinds {
@@ -263,7 +286,7 @@
 	return left
 }
 
-// ListFailed says that a call has ended with no list. The next one comes after a back-off, in time for the deadline.
+// ListCallFailed reports that a call has ended without a list. The next call follows after a back-off, in time for the deadline.
 func (b *Balancer) ListCallFailed() {
 	if !b.pullsList {
 		return
@@ -280,21 +303,21 @@
 	b.scheduleCall(pause)
 }
 
-// retryPause is the time from a call's end to the next call, where the back-off alone would give a pause.
+// retryPause returns the time from the end of a failed call to the next call, given the pause that the back-off alone would set.
 func (b *Balancer) retryPause(pause Millis) Millis {
 	c := &b.calls
 	pause = min(pause, maxRetryPause, max(b.timeToDeadline(deadlineReached, deadlineMoved, deadlineMovedLast, deadlineEnded)/minRetriesBeforeDeadline, minRetryPause))
 	if b.now-c.lastCallAt > minQueuedRefusal {
 		pause = min(pause, maxRetryPauseAfterWait*Millis(b.random()))
 	}
-	if c.openCount = max(c.openCount-1, 0); c.openCount > 0 { // another may still be answered
+	if c.openCount = max(c.openCount-1, 0); c.openCount > 0 { // another call may still be answered
 		pause = max(min(pause, c.nextCallAt-b.now), 0)
 	}
 	return pause
 }
 
-// ListRefused says that a call has been turned away, so many milliseconds after it was made. Beside is that another one which discovery
-// has taken in stands open: discovery is not down, its queue is full.
+// ListCallRefused reports that a call was refused, and how many milliseconds after it was made. If otherOpen is set, another
+// call that discovery has accepted is still open: then discovery is not down, but its queue is full.
 func (b *Balancer) ListCallRefused(waited Millis, otherOpen bool) {
 	if b.pullsList {
 		if !otherOpen {
@@ -305,7 +328,7 @@
 	b.ListCallFailed()
 }
 
-// noteRefusal keeps what a refusal tells of discovery's queue and of when it could be reached.
+// recordRefusal updates what is known of discovery's queue and of when discovery could be reached.
 func (b *Balancer) recordRefusal(waited Millis) {
 	c := &b.calls
 	if waited >= minQueuedRefusal {
@@ -315,12 +338,13 @@
 	if c.consecutiveRefusals++; c.consecutiveRefusals > maxConsecutiveFaults {
 		c.deadlines[deadlineReached] = b.now + c.bounds.Reached
 		if c.minLatency < assumedCallWork {
-			c.minLatency = Millis(math.Inf(1)) // how little a call took before says nothing of the work that it is now
+			c.minLatency = Millis(math.Inf(1)) // low latencies from before the outage do not show what a call costs now
 		}
 	}
 }
 
-// ListUnreachable says that the network let no call come up, for so long. The next one comes as after any other failure.
+// DiscoveryUnreachable reports that the network did not let a call be established, and for how long it was tried. The next call
+// follows as after any other failure.
 func (b *Balancer) DiscoveryUnreachable(waited Millis) {
 	if b.pullsList {
 		b.leaseCallRefused(waited)
@@ -328,8 +352,8 @@
 	b.ListCallFailed()
 }
 
-// ListStale says that a call was answered with changes from before what is known: they vouch for nothing, and the whole list has to be
-// asked for.
+// ListStale reports that a call was answered with changes older than the known list. They do not show that the known list is
+// current, so the whole list has to be requested.
 func (b *Balancer) ListStale() {
 	if b.pullsList {
 		b.calls.openCount = 0
@@ -337,8 +361,8 @@
 	}
 }
 
-// ListHeard says that the discovery in force has told its first list since a call, which took so long, and that its watch
-// goes on.
+// ListReceived reports that the current discovery has delivered its first list after a call, with the latency of that call, and
+// that its watch stays open.
 func (b *Balancer) ListReceived(latency Millis) {
 	c := &b.calls
 	c.watching, c.openCount = true, 0
@@ -348,8 +372,8 @@
 	b.leaseListReceived()
 }
 
-// ListLost says that the watch in force has ended, so long after it was last heard. Orderly is that its service ended it, in place
-// of a connection that broke or fell silent.
+// WatchEnded reports that the current watch has ended, silentFor after the last message on it. If orderly is set, the service
+// ended it; otherwise the connection broke or went silent.
 func (b *Balancer) WatchEnded(silentFor Millis, orderly bool) {
 	if !b.pullsList {
 		return
@@ -363,7 +387,8 @@
 	b.leaseWatchEnded(silentFor, orderly)
 }
 
-// ListMoved says that a new configuration names another discovery. What the one before failed is not held against it.
+// DiscoveryMoved reports that a new configuration names another discovery service. Failures of the previous service do not count
+// against the new one.
 func (b *Balancer) DiscoveryMoved() {
 	if !b.pullsList {
 		return
--- a/logic/discovery_capacity_test.go
+++ b/logic/discovery_capacity_test.go
@@ -10,26 +10,27 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What users saw: with faults injected, requests went to endpoints that had been gone for over 6 s, dozens of times, at a fleet of 32.
+// Guards against an overload of discovery that parallel calls keep up. In a run with injected faults and a fleet of 32, dozens of
+// requests went to endpoints that had been gone for over 6 s, since most processes never received a list again.
 //
-// Order of events: all processes called discovery at the start, 0.2 s of work each, more than it takes on: it refuses at once what
-// would wait over 3 s. Each process whose call waited made a further one after 1.1 s. That was refused, and the call that waited
-// ended with it, while its place in the queue was worked for nobody. The queue stayed full to the end of the day, with 30 calls a
-// second for five that could be served, and most processes never heard a list again.
+// All processes called discovery at the start, with 0.2 s of work per call. That exceeded its capacity, and it refuses at once calls
+// that would wait over 3 s. Each process whose call was queued made a parallel call after 1.1 s. The parallel call was refused and
+// the queued one ended with it, but its work was still done, for nobody. The queue stayed full to the end of the run, with 30 calls
+// per second where five could be served.
 //
-// Cause: calls made for fear that an open one is lost were limited by nothing that discovery's answers pay for, and came before
-// discovery's queue could have answered. More wait made more calls, more calls more wait.
+// Cause: parallel calls were not limited by anything that the answers of discovery replenish, and were made before its queue could
+// have answered. Longer waits led to more calls, and more calls to longer waits.
 //
-// Evidence: with each call logged, 75 of 75 calls that ended after a wait ended within 10 ms of a further call of their own process;
-// with no further call while one is open the same day had 63 calls in place of 733 and every process heard its list.
+// Evidence: in a log of all calls, 75 of 75 calls that ended after a wait ended within 10 ms of a parallel call of their own
+// process. Without parallel calls the same run had 63 calls instead of 733, and every process received its list.
 
-// queueKind is what discovery does with calls that it can't answer soon.
+// queuePolicy says what discovery does with calls that it cannot answer soon.
 type queuePolicy int
 
 const (
-	waitForTurn       queuePolicy = iota // each call waits for its turn
-	dropAfterWait                        // a call that has waited for queuePatience is refused then
-	refuseImmediately                    // a call that would wait longer than that is refused at once, and so are its process's others
+	waitForTurn       queuePolicy = iota // each call waits until it is served
+	dropAfterWait                        // a call is refused once it has waited for queueWaitLimit
+	refuseImmediately                    // a call that would wait longer than queueWaitLimit is refused at once, with the other calls of its process
 	queuePolicies
 )
 
@@ -40,33 +41,33 @@
 const (
 	queueWaitLimit Millis = 3000
 	outageDuration Millis = 5000
-	// notifiedGrace is how long after the bound a request may still go to an endpoint that drains.
+	// graceAfterBound is how long after the notification bound a request may still go to a draining endpoint.
 	graceAfterBound Millis = 550
 )
 
-// queueCall is a call in discovery's queue. Its work is done whether or not its process still waits for it.
+// queueCall is a call in discovery's queue. Its work is done whether or not its process still waits for the answer.
 type queueCall struct {
 	process   *queueProcess
 	arrivedAt Millis
 	ended     bool
-	dropped   bool // refused or dropped: no work
+	dropped   bool // refused or dropped without costing work
 }
 
-// queueDiscovery works through its calls in turn.
+// queueDiscovery simulates a discovery service that serves its calls in order.
 type queueDiscovery struct {
 	eventQueue
 	policy         queuePolicy
-	work           Millis // of a call
+	work           Millis // work of one call
 	down           bool
 	busy           bool
 	waiting        []*queueCall
-	truncatedShare float64 // share of answers that break off
+	truncatedShare float64 // share of answers that are truncated
 	rng            *rand.Rand
 	calls          int
 	processes      []*queueProcess
 }
 
-// queueProcess is one of its callers.
+// queueProcess is one of the callers of a queueDiscovery.
 type queueProcess struct {
 	Outgoing
 	d          *queueDiscovery
@@ -123,7 +124,7 @@
 	}
 }
 
-// close takes a call from the open ones; false if it is none.
+// closeCall removes a call from the open ones. It returns false if the call has already ended.
 func (p *queueProcess) closeCall(c *queueCall) bool {
 	if c.ended {
 		return false
@@ -140,7 +141,7 @@
 	}
 }
 
-// serve takes on the first call that waits; refused ones cost no work, those given up do.
+// serve starts the work of the first waiting call. Refused calls cost no work, abandoned ones do.
 func (d *queueDiscovery) serve() {
 	d.busy = false
 	for len(d.waiting) > 0 && d.waiting[0].dropped {
@@ -178,7 +179,7 @@
 	p.b.ListReceived(d.now - c.arrivedAt)
 }
 
-// newQueueDiscovery starts a whole fleet with known lists; a round is the work of one call of each process.
+// newQueueDiscovery starts a whole fleet of processes that have an old list. round is the work of one call of each process.
 func newQueueDiscovery(policy queuePolicy, fleet int, round Millis, seed uint64) *queueDiscovery {
 	d := &queueDiscovery{eventQueue: eventQueue{now: 1000}, policy: policy, work: round / Millis(fleet), rng: rand.New(rand.NewPCG(seed, 55))}
 	for range fleet {
@@ -190,7 +191,8 @@
 	return d
 }
 
-// heardAfter plays on for a minute and tells how long after a moment each process heard its list; infinite for never.
+// receiveDelays runs the simulation until a minute after from and returns how long after from each process received its list;
+// infinite for never.
 func (d *queueDiscovery) receiveDelays(from Millis) (delays []Millis) {
 	d.runUntil(from + 60000)
 	for _, p := range d.processes {
@@ -212,13 +214,13 @@
 	}
 }
 
-// settle lets all processes hear their lists.
+// receiveAllLists runs the simulation without faults so that all processes receive their lists.
 func (d *queueDiscovery) receiveAllLists() {
 	d.truncatedShare = 0
 	d.receiveDelays(d.now + 60000)
 }
 
-// goDown ends all watches and refuses all calls for outageLasts; it returns when discovery is back.
+// simulateOutage ends all watches and refuses all calls for outageDuration. It returns the time at which discovery is back.
 func (d *queueDiscovery) simulateOutage() Millis {
 	d.down, d.waiting = true, nil
 	d.endWatches()
@@ -227,7 +229,7 @@
 	return d.now
 }
 
-// capacityRun is what a fleet's calls came to.
+// capacityResult sums up the lists received and the calls made by the processes of a fleet.
 type capacityResult struct {
 	late, never, processes, calls int
 	lastDelay                     Millis
@@ -254,7 +256,8 @@
 	return fmt.Sprintf("%d of %d late, %d never, last after %.1f s, %.1f calls each", r.late, r.processes, r.never, r.lastDelay/1000, float64(r.calls)/float64(r.processes))
 }
 
-// capacityRuns are those of a fleet that starts together, whose discovery is taken away and brought back, and whose watches end.
+// capacityResults holds the results for a fleet whose processes start together, whose discovery goes down and comes back, and whose
+// watches end.
 type capacityResults struct{ atStart, afterOutage, afterWatchEnd capacityResult }
 
 func simulateCapacity(policy queuePolicy, fleet int, round Millis, truncatedShare float64, seeds int) (r capacityResults) {
@@ -275,12 +278,14 @@
 	return r
 }
 
-// capacityMargin is how much longer than the work itself, and that of one place lost, a fleet may take to hear its lists: the pause
-// between two calls that were refused, the places that stay empty meanwhile, and calls in the queue that were given up.
+// capacityMargin is how much longer than the work itself and the work of one lost queue position a fleet may take to receive its
+// lists. It covers the pause between two refused calls, the queue positions that stay empty meanwhile, and abandoned calls in the
+// queue.
 const capacityMargin Millis = 2500
 
-// A whole fleet hears its lists from a discovery that has little or no capacity to spare, at its start and after an outage: in the
-// time that is owed where the work fits into it, and not much later than the work takes where it doesn't.
+// A whole fleet receives its lists from a discovery service with little or no spare capacity: at the start, after an outage and
+// after the end of the watches. No list is late if a round takes at most 4.8 s and so fits into the notification bound. Otherwise the
+// last one comes not much later than the work takes.
 func TestCallsDoNotExhaustTheCapacityOfDiscovery(t *testing.T) {
 	for policy := range queuePolicies {
 		for _, fleet := range []int{5, 40, 100} {
@@ -290,7 +295,7 @@
 				for _, event := range []struct {
 					name   string
 					result capacityResult
-				}{{"at the start", results.atStart}, {"after an outage", results.afterOutage}, {"after the watches' end", results.afterWatchEnd}} {
+				}{{"at the start", results.atStart}, {"after an outage", results.afterOutage}, {"after the end of the watches", results.afterWatchEnd}} {
 					if round <= 4800 {
 						assert.Zero(t, event.result.late, "%s, %s: %v", name, event.name, &event.result)
 					}
@@ -303,8 +308,8 @@
 	}
 }
 
-// BenchmarkCallsAtACrowdedDiscovery reports the load at discovery and what comes of it, over the kind of queue, the share of spoilt
-// answers, the fleet's size and the work of one round of its calls: the table of docs/incidents/0017.
+// BenchmarkCallsToAnOverloadedDiscovery reports the load on discovery and its consequences, by queue policy, share of truncated
+// answers, size of the fleet and work of one round of calls: the table of docs/incidents/0017.
 func BenchmarkCallsToAnOverloadedDiscovery(b *testing.B) {
 	for policy := range queuePolicies {
 		for _, truncatedShare := range []float64{0, 0.1, 0.3} {
--- a/logic/discovery_crowd_test.go
+++ b/logic/discovery_crowd_test.go
@@ -7,28 +7,28 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// crowdedDiscovery answers calls in turn and does the work of those that were given up too. It refuses at once what would wait
-// for longer than its patience.
+// overloadedDiscovery simulates a discovery service that answers calls in order and also does the work of abandoned ones. It
+// refuses at once a call that would wait longer than maxWait.
 type overloadedDiscovery struct {
 	eventQueue
-	busyUntil      Millis // when its queue is done
-	work           Millis // of a call
+	busyUntil      Millis // when the work of all queued calls is done
+	work           Millis // work of one call
 	maxWait        Millis
 	sidecars       []*overloadSidecar
-	faultsCostWork bool // faulty answers cost their work too
+	faultsCostWork bool // faulty answers cost work too
 }
 
-// crowdSidecar is one of its callers.
+// overloadSidecar is one of the callers of an overloadedDiscovery.
 type overloadSidecar struct {
 	Outgoing
 	d          *overloadedDiscovery
 	b          *Balancer
 	rng        *rand.Rand
-	moveCount  int
-	faultsLeft int // calls to come that meet a fault
+	moveCount  int // new configurations so far
+	faultsLeft int // number of next calls that meet a fault
 	received   bool
 	receivedAt Millis
-	eventAt    Millis // of the event after which it has to hear a list
+	eventAt    Millis // when the event happened after which a list has to be received
 }
 
 func (s *overloadSidecar) SetTimer(after Millis, t TimerID) {
@@ -67,7 +67,7 @@
 		}
 		s.b.SetNow(d.now)
 		s.b.ListEnds(false)
-		if moveCount == s.moveCount { // an earlier discovery's list is taken, but it is no end of the calls
+		if moveCount == s.moveCount { // the list of an earlier discovery is used, but the calls go on
 			s.received, s.receivedAt = true, d.now
 			s.b.ListReceived(d.now - startedAt)
 		}
@@ -87,8 +87,8 @@
 	return d
 }
 
-// reconfigure has every process get four new configurations within 1.6 s, each with a discovery whose first answers are faulty;
-// it returns how long after the last of them each heard a list.
+// reconfigure sends every process four new configurations within 1.6 s, each of a discovery service whose first answers are
+// faulty. It returns how long after the last configuration each process received a list.
 func (d *overloadedDiscovery) reconfigure(faults int) (delays []Millis) {
 	for n, s := range d.sidecars {
 		for _, at := range []Millis{0, 300, 700, 1600} {
@@ -103,7 +103,8 @@
 	return d.receiveDelays()
 }
 
-// endWatches ends the watches of all processes; the first call of each meets so many faults.
+// endWatches ends the watches of all processes; the first calls of each meet the given number of faults. It returns how long
+// after the end of its watch each process received a list.
 func (d *overloadedDiscovery) endWatches(faults int) []Millis {
 	for n, s := range d.sidecars {
 		d.schedule(Millis(11*n%100), func() {
@@ -126,13 +127,13 @@
 	return delays
 }
 
-// Discovery is one service for a whole fleet, with no more capacity than the fleet needs. Calls that a process makes for fear of a
-// fault must not crowd out those of the others.
+// Discovery is one service for the whole fleet, with no more capacity than the fleet needs. The calls that a process makes in case
+// an open one is lost must not displace the calls of the other processes.
 func TestAFleetReceivesItsListsInTimeFromADiscoveryAtCapacity(t *testing.T) {
 	for _, c := range []struct {
 		faults         int
-		faultsCostWork bool    // discovery does the work of faulty answers too
-		maxLateShare   float64 // share of the processes, at most
+		faultsCostWork bool    // faulty answers cost discovery work too
+		maxLateShare   float64 // highest allowed share of late processes
 	}{{faults: 0}, {faults: 2}, {faults: 3}, {faults: 1, faultsCostWork: true, maxLateShare: 0.05}} {
 		for _, fleet := range []int{6, 12, 30, 300} {
 			late, all := 0, 0
@@ -150,7 +151,7 @@
 					}
 				}
 			}
-			assert.LessOrEqual(t, float64(late)/float64(all), c.maxLateShare, "fleet of %d, %d faults, they cost work: %v", fleet, c.faults, c.faultsCostWork)
+			assert.LessOrEqual(t, float64(late)/float64(all), c.maxLateShare, "fleet of %d, %d faults, faults cost work: %v", fleet, c.faults, c.faultsCostWork)
 		}
 	}
 }
--- a/logic/discovery_pacing_test.go
+++ b/logic/discovery_pacing_test.go
@@ -15,12 +15,12 @@
 type answerFault int
 
 const (
-	refusedAnswer    answerFault = iota // turned away at once
+	refusedAnswer    answerFault = iota // refused at once
 	brokenAnswer                        // the connection ends at once
-	lateBrokenAnswer                    // the connection ends when its turn has come
-	missingAnswer                       // taken in its turn, and never answered
-	partialAnswer                       // a head or half a list in its turn, then silence, which the sidecar gives up after halfAnswerWait
-	mixedFaults                         // each one of the above, by chance
+	lateBrokenAnswer                    // the connection ends when the call has been served
+	missingAnswer                       // the call is served but never answered
+	partialAnswer                       // a head or half a list when served, then silence; the sidecar gives up after partialAnswerTimeout
+	mixedFaults                         // a random one of the above for each answer
 	answerFaults
 )
 
@@ -28,7 +28,7 @@
 	return [answerFaults]string{"refused", "broken", "late-break", "silent", "half", "mixed"}[f]
 }
 
-// pacingEvent is why a list has to be heard.
+// pacingEvent is the event after which a list has to be received.
 type pacingEvent int
 
 const (
@@ -36,7 +36,7 @@
 	shortOutageEnds
 	longOutageEnds
 	newConfiguration
-	configurationSeries // four of them within configurationsLast; the last counts
+	configurationSeries // four new configurations within configurationSeriesSpan; the bound runs from the last
 	pacingEvents
 )
 
@@ -47,37 +47,37 @@
 const (
 	shortOutage Millis = 4000
 	longOutage  Millis = 10000
-	// boundSlack is what the rules leave beyond a bound: the grace and the slack on sockets.
+	// boundSlack is the time that the rules allow beyond a bound: the grace period and the tolerance for sockets.
 	boundSlack              Millis = 500
 	partialAnswerTimeout    Millis = 500
 	refusalDelay            Millis = 2
 	breakDelay              Millis = 3
-	cheapCallWork           Millis = 3 // of a call to a discovery that is not crowded
+	cheapCallWork           Millis = 3 // work of a call to a discovery service that is not overloaded
 	observationTime         Millis = 20000
-	moveSpread              Millis = 1000 // over which the processes get a new configuration
-	endSpread               Millis = 50   // over which their watches end
+	moveSpread              Millis = 1000 // time over which the new configuration reaches the processes
+	endSpread               Millis = 50   // time over which the watches of the processes end
 	configurationSeriesSpan Millis = 1600
-	// processesACell is the least number of processes whose calls a cell sums up.
+	// minProcessesPerCell is the least number of processes whose calls make up the result of a cell.
 	minProcessesPerCell = 30
 )
 
-// pacingCell is one world that a policy is judged in.
+// pacingCell is one combination of conditions under which the pacing of calls is simulated.
 type pacingCell struct {
 	policy        queuePolicy
-	subscription  bool // a refusal ends all open calls of its process, whatever the queue
-	cheapBefore   bool // calls took cheapWork before the event
+	subscription  bool // a refusal ends all open calls of its process, whatever the queue policy
+	cheapBefore   bool // a call cost cheapCallWork before the event
 	callers       int
 	round         Millis // work of one call of each process
 	event         pacingEvent
 	fault         answerFault
-	faultyAnswers int // faulty answers to each process
+	faultyAnswers int // number of consecutive faulty answers that each process gets after the event
 }
 
 func (c pacingCell) String() string {
 	return fmt.Sprintf("%d,%v,%v,%d,%v,%v,%v,%d", c.policy, c.subscription, c.cheapBefore, c.callers, c.round, c.event, c.fault, c.faultyAnswers)
 }
 
-// bound is the time after the event within which a list has to be heard.
+// bound returns the time after the event within which a list has to be received.
 func (c pacingCell) bound() Millis {
 	switch {
 	case c.event == newConfiguration || c.event == configurationSeries:
@@ -88,42 +88,42 @@
 	return 6000 + boundSlack
 }
 
-// pacedDiscovery works through calls in turn, those that were given up too.
+// pacedDiscovery simulates a discovery service that serves its calls in order, including abandoned ones.
 type pacedDiscovery struct {
 	eventQueue
 	pacingCell
 	rng       *rand.Rand
-	work      Millis // of a call
+	work      Millis // work of one call
 	down      bool
 	busy      bool
 	waiting   []*pacedCall
 	processes []*pacedProcess
 }
 
-// pacedCall is a call in its queue.
+// pacedCall is a call to a pacedDiscovery.
 type pacedCall struct {
 	process   *pacedProcess
 	arrivedAt Millis
 	fault     answerFault // answerFaults for none
-	ended     bool        // nobody waits for its answer any more
-	dropped   bool        // dropped: costs no work
+	ended     bool        // its process no longer waits for the answer
+	dropped   bool        // removed from the queue without costing work
 }
 
-// pacedProcess is one of its callers.
+// pacedProcess is one of the callers of a pacedDiscovery.
 type pacedProcess struct {
 	Outgoing
 	d                *pacedDiscovery
 	b                *Balancer
 	open             []*pacedCall
-	faultsLeft       int // answers to come
+	faultsLeft       int // number of next answers that are faulty
 	calls            int
-	callsWhileDown   int // calls while discovery was down
+	callsWhileDown   int // calls made while discovery was down
 	received         bool
 	receivedAt       Millis
-	eventAt          Millis   // of the event
-	lags             []Millis // of each list behind the watch's end before it
-	pendingDeadlines []Millis // when changes that are not heard yet have to be
-	lateChanges      int      // changes that were heard after that
+	eventAt          Millis   // when the event happened
+	lags             []Millis // time from the end of a watch to the next list, one for each list
+	pendingDeadlines []Millis // times by which changes that are not received yet have to be received
+	lateChanges      int      // changes that were received after their deadline
 }
 
 func newPacedDiscovery(cell pacingCell, seed uint64) *pacedDiscovery {
@@ -137,7 +137,7 @@
 		p := &pacedProcess{Outgoing: discardOutgoing{}, d: d, received: true}
 		p.b = New(Terms{Seed: d.rng.Uint64(), Fleet: cell.callers, PullList: true, HasList: true, AskWithin: 10000, MaxListWait: 1200,
 			Notified: NotificationBounds{Reached: 6000, Moved: 4000, Ended: 2000}}, p, d.now)
-		p.b.ListEnds(false) // one list at the start of the fleet, one at a quiet time
+		p.b.ListEnds(false) // one list when the whole fleet started, one without load
 		p.b.ListReceived(before * Millis(1+d.rng.IntN(cell.callers)))
 		p.b.ListReceived(before)
 		d.processes = append(d.processes, p)
@@ -152,7 +152,7 @@
 	}
 }
 
-// Watch makes a call, as the sidecar does: the newest of too many open ones gives way.
+// Watch makes a call as the sidecar does: at MaxOpenCalls the newest open call is replaced.
 func (p *pacedProcess) Watch() {
 	d := p.d
 	if p.received {
@@ -203,7 +203,7 @@
 	}
 }
 
-// close takes a call from the open ones; false if it is none.
+// closeCall removes a call from the open ones. It returns false if the call has already ended.
 func (p *pacedProcess) closeCall(c *pacedCall) bool {
 	if c.ended {
 		return false
@@ -279,7 +279,7 @@
 	p.b.ListReceived(d.now - c.arrivedAt)
 }
 
-// lose ends a process's watch.
+// endWatch ends the watch of a process.
 func (p *pacedProcess) endWatch() {
 	p.received, p.eventAt, p.faultsLeft = false, p.d.now, p.d.faultyAnswers
 	p.b.SetNow(p.d.now)
@@ -289,13 +289,13 @@
 func (p *pacedProcess) moveDiscovery() {
 	p.received, p.eventAt, p.faultsLeft = false, p.d.now, p.d.faultyAnswers
 	for len(p.open) > 0 {
-		p.closeCall(p.open[0]) // the list of an earlier discovery ends nothing
+		p.closeCall(p.open[0]) // a list of the previous discovery would not end the calls
 	}
 	p.b.SetNow(p.d.now)
 	p.b.DiscoveryMoved()
 }
 
-// play has the cell's event happen, and plays on until nobody can be waited for.
+// simulateEvent issues the event of the cell and runs the simulation for observationTime after it.
 func (d *pacedDiscovery) simulateEvent() {
 	outage := Millis(0)
 	switch d.event {
@@ -328,7 +328,7 @@
 	d.runUntil(d.now + observationTime)
 }
 
-// pacingResult is what the calls of the processes of some cells came to.
+// pacingResult counts the processes of some cells, their late and missing lists and their calls.
 type pacingResult struct{ processes, late, never, calls, callsWhileDown int }
 
 func (r *pacingResult) add(o pacingResult) {
@@ -359,10 +359,10 @@
 	return r
 }
 
-// pacingWorkers is how many cells are played at once.
+// pacingWorkers is how many cells are simulated at the same time.
 const pacingWorkers = 2
 
-// forEachCell plays cells and hands on the results in their order.
+// forEachCell simulates the cells and passes their results on in the order of the cells.
 func forEachCell[Cell, Result any](cells []Cell, simulate func(Cell) Result, each func(Cell, Result)) {
 	results := make([]Result, len(cells))
 	var workers sync.WaitGroup
@@ -381,11 +381,12 @@
 
 var (
 	pacingCallers       = []int{1, 5, 12, 40, 100}
-	pacingFaultyAnswers = []int{0, 1, 3, 4, 6, 8} // in a row
+	pacingFaultyAnswers = []int{0, 1, 3, 4, 6, 8} // consecutive faulty answers
 	pacingRounds        = []Millis{0, 500, 1500, 2400, 3000, 4800, 5800}
 )
 
-// pacingCells are the cells of one group.
+// pacingCells returns the cells of one group: all combinations of callers, work of a round, fault and number of faulty answers,
+// with the group's other conditions.
 func pacingCells(group pacingCell) (cells []pacingCell) {
 	for _, group.callers = range pacingCallers {
 		for _, group.round = range pacingRounds {
@@ -401,10 +402,14 @@
 	return cells
 }
 
-// BenchmarkPacingOfCalls judges when discovery is called: the share of processes that hear their list late or never and the calls
-// that each makes, a line for each group of cells, with a share for each number of faulty answers, and with -v one for each cell
-// (queue, subscription, cheap before, callers, work of a round, event, fault, faulty answers; late and never in per cent, calls,
-// calls while discovery was down).
+// BenchmarkPacingOfCalls evaluates when discovery is called, in a model of one discovery service and the processes that call it. A
+// cell of the model is a combination of the event that requires a list, the queue policy, how refusals and earlier latencies behave,
+// the number of callers, the work of a round, and the faulty answers.
+//
+// It reports the share of processes that receive their list later than pacingCell.bound, or never, and the calls that each makes:
+// one line for each group of cells, with a share for each number of faulty answers. With -v there is also a line for each cell
+// (queue policy, subscription, cheap before, callers, work of a round, event, fault, faulty answers; late and never in per cent,
+// calls, calls while discovery was down).
 func BenchmarkPacingOfCalls(b *testing.B) {
 	for event := range pacingEvents {
 		for policy := range queuePolicies {
@@ -444,13 +449,14 @@
 	b.ReportMetric(float64(all.callsWhileDown)/float64(all.processes), "calls-while-down/process")
 }
 
-// replacementCell is a fleet whose watches end at each change in place of telling it, while one endpoint after another is replaced.
+// replacementCell describes a fleet whose watches end at each change instead of delivering it, while one endpoint after another is
+// replaced.
 type replacementCell struct {
 	policy        queuePolicy
 	subscription  bool
-	work          Millis // of a call
-	endWithin     Millis // of a change
-	faultyAnswers int    // answers that break off behind each watch
+	work          Millis // work of one call
+	endWithin     Millis // longest time from a change to the end of the watches
+	faultyAnswers int    // broken answers after each watch
 }
 
 const (
@@ -459,10 +465,10 @@
 	replacementCallers        = 40
 )
 
-// replacementResult is what its calls came to.
+// replacementResult counts the changes in a replacementCell, the late ones and the calls.
 type replacementResult struct {
 	changes, late, calls int
-	lags                 []Millis // of the lists behind the watches' ends
+	lags                 []Millis // time from the end of a watch to the next list, sorted
 }
 
 func (r replacementResult) quantile(q float64) Millis {
@@ -488,7 +494,8 @@
 	return r
 }
 
-// replace makes a change: each open watch ends soon after it, and it counts as notified a while after that.
+// replaceEndpoint makes a change. Each open watch ends within endWithin of it. The change counts as notified 6 s after it, or 2 s
+// after the end of the watch if that is earlier.
 func (d *pacedDiscovery) replaceEndpoint(endWithin Millis) {
 	changed := d.now
 	for _, p := range d.processes {
@@ -510,8 +517,8 @@
 	}
 }
 
-// BenchmarkReplacementsWithoutWatches is the world of issue 61: the share of changes that are heard late, the calls for a list, and
-// how long behind a watch's end lists are heard.
+// BenchmarkChangesThatEndWatches simulates the conditions of issue 61. It reports the share of changes that are received late, the
+// calls per list, and the time from the end of a watch to the next list.
 func BenchmarkChangesThatEndWatches(b *testing.B) {
 	for policy := range queuePolicies {
 		for _, subscription := range []bool{false, true} {
@@ -536,7 +543,8 @@
 	}
 }
 
-// Where the work of a round leaves room, a change that ends all watches is heard in the time that is owed behind them.
+// If the work of a round leaves spare capacity, a change that ends all watches is received before it counts as notified: 6 s after
+// the change, or 2 s after the end of the watch if that is earlier, plus boundSlack.
 func TestChangesThatEndWatchesAreReceivedInTime(t *testing.T) {
 	for policy := range queuePolicies {
 		for _, subscription := range []bool{false, true} {
--- a/logic/discovery_test.go
+++ b/logic/discovery_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// callFate is what becomes of a call to discovery: it brings a list, or fails, so many milliseconds after its start.
+// callResult is the result of a call to discovery: it is answered with a list or fails, duration milliseconds after its start.
 type callResult struct {
 	name     string
 	duration Millis
@@ -16,20 +16,20 @@
 
 var (
 	refusedCall    = callResult{name: "refused", duration: 2}
-	truncatedCall  = callResult{name: "broken off inside the list", duration: 600}
-	unansweredCall = callResult{name: "silent", duration: 4000}
+	truncatedCall  = callResult{name: "truncated list", duration: 600}
+	unansweredCall = callResult{name: "not answered", duration: 4000}
 	answeredCall   = callResult{name: "answered", duration: 250, answered: true}
 )
 
-// listCaller plays discovery for one module.
+// discoveryStub simulates the discovery service of one module.
 type discoveryStub struct {
 	Outgoing
 	eventQueue
 	b             *Balancer
-	results       []callResult // of the calls to come; after them all are answered
+	results       []callResult // of the next calls; all later calls are answered
 	callTimes     []Millis
-	configVersion int // of the calls whose ends still count: a new configuration makes others
-	receivedAt    Millis
+	configVersion int    // a call's result is ignored if the configuration has changed since the call was made
+	receivedAt    Millis // when the list was received; -1 for not yet
 }
 
 func newDiscoveryStub(t Terms) *discoveryStub {
@@ -74,14 +74,14 @@
 	s.b.SetNow(s.now)
 }
 
-// happens starts an event: from here on the next calls have these fates.
+// startEvent begins a new event, after which the next calls have the given results, and returns its time.
 func (s *discoveryStub) startEvent(results []callResult) Millis {
 	s.results, s.receivedAt, s.callTimes = results, -1, nil
 	return s.now
 }
 
-// Whatever the first three calls meet and however large the fleet, a whole list is heard before a change counts as notified:
-// 4 s after a new configuration, 6 s after discovery could be reached. Several bounds may be owed at once.
+// A whole list is received before a change counts as notified, whatever the results of the first three calls and the size of the
+// fleet: 4 s after a new configuration and 6 s after discovery could be reached. Several bounds may apply at once.
 func TestListIsReceivedBeforeTheNotificationDeadline(t *testing.T) {
 	kinds := []callResult{refusedCall, truncatedCall, unansweredCall}
 	var orders [][]callResult
@@ -123,14 +123,14 @@
 				stub = started()
 				from = stub.startEvent(order)
 				stub.b.WatchEnded(2500, false)
-				assertReceived(stub, "a watch that fell silent", from-2500, 6000)
+				assertReceived(stub, "a watch that went silent", from-2500, 6000)
 
 				stub = started()
 				stub.startEvent(down)
 				stub.b.WatchEnded(0, false)
 				stub.simulateUntil(stub.now + 9000 + Millis(37*n))
 				from = stub.startEvent(order)
-				assertReceived(stub, "discovery back after a while", from, 6000)
+				assertReceived(stub, "discovery back after an outage", from, 6000)
 
 				stub = started()
 				stub.startEvent(down)
@@ -151,19 +151,19 @@
 				from = stub.startEvent(order[:2])
 				stub.configVersion++
 				stub.b.DiscoveryMoved()
-				assertReceived(stub, "new configurations in a row", from, 4000)
+				assertReceived(stub, "a series of new configurations", from, 4000)
 			}
 		}
 	}
 }
 
-// New configurations that go on coming don't put off the call for ever, nor does each of them make one.
+// A continuous stream of new configurations must neither postpone the call forever nor cause a call for each of them.
 func TestContinuousNewConfigurationsNeitherPostponeNorMultiplyCalls(t *testing.T) {
 	stub := newDiscoveryStub(Terms{Fleet: 6, AskWithin: 10000})
 	stub.simulateUntil(20000)
 	from := stub.startEvent(nil)
 	for range 200 {
-		stub.configVersion++ // no call lives long enough to be answered
+		stub.configVersion++ // the next configuration arrives before any call is answered
 		stub.b.DiscoveryMoved()
 		stub.simulateUntil(stub.now + 150)
 	}
@@ -179,7 +179,7 @@
 	assert.GreaterOrEqual(t, stub.receivedAt, last)
 }
 
-// One call that fails leaves time for another before a watch's end counts: 2 s.
+// After one failed call there is time for another one before a change counts as notified 2 s after the end of a watch.
 func TestOneFailedCallAfterAWatchEndLeavesTimeForAnother(t *testing.T) {
 	for _, fleet := range []int{1, 6, 30, 350} {
 		for seed := range uint64(20) {
@@ -195,15 +195,15 @@
 	}
 }
 
-// Discovery does the work of every call that is made, also of those given up: where it answers, each process makes one call, and
-// configurations in quick succession do not make a call each.
+// Discovery does the work of every call, also of abandoned ones. So a process makes only one call if discovery answers, and not one
+// call for each configuration of a quick series.
 func TestNoUnnecessaryCallsToDiscovery(t *testing.T) {
 	stub := newDiscoveryStub(Terms{Fleet: 6, AskWithin: 10000})
 	stub.simulateUntil(20000)
 	stub.startEvent(nil)
 	stub.b.WatchEnded(0, false)
 	stub.simulateUntil(stub.now + 5000)
-	assert.Len(t, stub.callTimes, 1, "one call is enough")
+	assert.Len(t, stub.callTimes, 1, "discovery answers: one call")
 	stub.startEvent(nil)
 	for range 12 {
 		stub.receivedAt = -1
@@ -211,7 +211,7 @@
 		stub.b.DiscoveryMoved()
 		stub.simulateUntil(stub.now + 200)
 	}
-	assert.LessOrEqual(t, len(stub.callTimes), 3, "a series of 2.4 s makes few calls")
+	assert.LessOrEqual(t, len(stub.callTimes), 3, "few calls in a series of configurations that lasts 2.4 s")
 	stub.simulateUntil(stub.now + 5000)
 	assert.NotEqual(t, Millis(-1), stub.receivedAt)
 	slow := callResult{duration: 2400, answered: true}
@@ -222,10 +222,10 @@
 	stub.startEvent([]callResult{slow, slow, slow, slow})
 	stub.b.WatchEnded(0, false)
 	stub.simulateUntil(stub.now + 9000)
-	assert.Less(t, len(stub.callTimes), first, "a crowded discovery gets fewer calls")
+	assert.Less(t, len(stub.callTimes), first, "fewer calls once discovery is known to be slow")
 }
 
-// However long no call is answered, only a few are open at a time, and they go on.
+// If discovery does not answer, only a few calls are open at a time, and further calls are still made.
 func TestOpenCallsAreBounded(t *testing.T) {
 	stub := newDiscoveryStub(Terms{Fleet: 6, AskWithin: 10000})
 	stub.simulateUntil(20000)
@@ -249,7 +249,7 @@
 	assert.LessOrEqual(t, len(stub.callTimes), 60)
 }
 
-// An agent that serves one process has no queue of others: a call that it does not answer is soon followed by another.
+// A local agent that serves one process has no queue of other callers, so a call that it does not answer is repeated soon.
 func TestASoleCallerRepeatsAnUnansweredCallSoon(t *testing.T) {
 	for _, fleet := range []int{1, 350} {
 		stub := newDiscoveryStub(Terms{Fleet: fleet, AskWithin: 125, SoleCaller: true})
@@ -261,7 +261,7 @@
 	}
 }
 
-// refusingDiscovery turns the next calls away at once and leaves those after them open.
+// refusingDiscovery refuses the next calls at once and leaves all later ones open.
 type refusingDiscovery struct {
 	discoveryStub
 	refusalsLeft int
@@ -286,8 +286,9 @@
 	}
 }
 
-// Discovery that answered in milliseconds and came back crowded after an outage: a call that it takes in is left its place for as long as
-// any queue may take, since what a call cost it before says nothing now. While it was never away the old latency counts.
+// A discovery service that answered within milliseconds may be overloaded when it comes back after an outage. A call that it
+// accepts then keeps its queue position for as long as any queue may take, since the old latency does not show what a call costs
+// now. Without an outage the old latency still counts.
 func TestACallAfterAnOutageIsGivenTheMaximumQueueTime(t *testing.T) {
 	for refusals, least := range map[int]Millis{maxConsecutiveFaults + 2: maxQueueWait, 1: minParallelCallDelay} {
 		d := &refusingDiscovery{discoveryStub: discoveryStub{Outgoing: discardOutgoing{}, eventQueue: eventQueue{now: 1000}}}
--- a/logic/drain_queued_test.go
+++ b/logic/drain_queued_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Exchanges that wait for room when an endpoint is told to drain, or tried there before, are not sent there when its room comes free.
+// Exchanges that are queued for the concurrency limit when an endpoint starts to drain, or that were tried there before, are not
+// sent to it when it has capacity again.
 func TestQueuedExchangesAreNotSentToADrainingEndpoint(t *testing.T) {
 	for _, outcome := range []Outcome{Succeeded, Full, Reset} {
 		b, r := newTestBalancer("ab")
@@ -24,7 +25,7 @@
 		b.Listed("a", NotRunning, 0, 0, 0, 1, 0)
 		b.ListEnds(false)
 		for _, line := range r.take("send") {
-			assert.NotRegexp(t, " a$", line, "when it is told")
+			assert.NotRegexp(t, " a$", line, "when the drain is announced")
 		}
 		sent := 0
 		for _, from := range []EndpointID{"a", "b"} {
@@ -42,7 +43,7 @@
 			assert.NotRegexp(t, " a$", line, "outcome %d", outcome)
 		}
 		if outcome == Succeeded {
-			assert.NotZero(t, sent, "the room at the other is used")
+			assert.NotZero(t, sent, "free capacity of the other endpoint is used")
 		}
 	}
 }
--- a/logic/lease.go
+++ b/logic/lease.go
@@ -1,59 +1,68 @@
-// The lease on the list of endpoints: until when the sidecar may send by a list that no watch keeps current. Decided from the
-// spans after which a missed change counts as notified, and from what calls to discovery showed of whether it can be reached. It
-// must never take part in when discovery is called, nor stop service while discovery can't be reached.
+// This file holds the lease on the list of endpoints: how long new legs may be sent by a list that no watch keeps current. It is
+// derived from the bounds after which a missed change counts as notified, and from the outcomes of calls to discovery, which show
+// whether discovery can be reached. The lease must never decide when discovery is called (discovery.go does, and takes a
+// suspension into account), nor stop service while discovery cannot be reached.
 //
-// A watch that has told its list holds the lease. From its end, from a new configuration and from the start of the process the
-// lease runs to the nearest of the deadlines that are owed. A lease that ends before a list is heard suspends all new attempts:
-// any endpoint may be one that counts as drained. Requests wait meanwhile and go out once a list is heard, or are answered in
-// their time.
+// A watch that has delivered its list holds the lease. When the watch ends, when a new configuration arrives and when the process
+// starts, the lease begins to run towards the nearest deadline. A lease that expires before a list is received suspends all new
+// legs, since any endpoint may count as drained by then. Meanwhile requests are queued; they are sent once a list is received, or
+// answered when their time is over.
 //
-// A change counts only while discovery can be reached. A call that discovery took in shows that it can, and so does a watch that its
-// service ended in good order. Calls refused after a wait, or a row of calls refused at once, may mean that it is down: the time then
-// begins anew. A call that is refused while another one stands open means a full queue.
+// A missed change counts as notified only while discovery can be reached. That it can be reached is shown by a call that
+// discovery accepted, and by a watch that its service ended in an orderly way. Calls refused after a wait, or several consecutive
+// calls refused at once, may mean that discovery is down: the time then starts again. A call that is refused while another one is
+// open means a full queue.
+
 package logic
 
 import "math"
 
 const (
-	// leaseStall is the part of the grace for drains, in milliseconds, that is left for a process that is held up between its
-	// clock and a write, and for timers that are late.
+	// leaseStallAllowance is the part of the drain grace period, in milliseconds, that is reserved for a process that is delayed
+	// between reading its clock and a write, and for late timers.
 	leaseStallAllowance Millis = 250
-	// suspensionMost is how long new attempts are suspended at most until a list is heard. A discovery that takes calls and
-	// answers none must not end all service.
+	// maxSuspension is the longest time in milliseconds for which new legs are suspended until a list is received. A discovery
+	// service that accepts calls and answers none must not end all service.
 	maxSuspension Millis = 3800
-	// waitsOfACrowd is how many calls a crowded discovery may refuse after a wait before it counts as down.
+	// maxQueuedRefusals is how many calls an overloaded discovery service may refuse after a wait before it counts as down.
 	maxQueuedRefusals = 1
-	// waitsAfterReset is the same behind a watch that was reset, as the watches of a discovery are that goes down.
+	// maxQueuedRefusalsAfterReset replaces maxQueuedRefusals after a watch was reset, which is how watches end when their
+	// service goes down.
 	maxQueuedRefusalsAfterReset = 0
-	// timerSlack is by how many milliseconds a timer may come early, by rounding.
+	// timerSlack is the time in milliseconds by which a timer may fire early because of rounding.
 	timerSlack Millis = 0.01
-	// leaseTimer is the timer of the lease's end and of the end of a suspension.
+	// leaseTimer is the timer for the expiry of the lease and for the end of a suspension.
 	leaseTimer TimerID = 3
 )
 
-// lease is what is known of how long the list may be sent by.
+// lease is the state of the lease on the current list.
 type lease struct {
-	bounds     NotificationBounds
-	margin     Millis // from a deadline to the lease's end: what of the grace may be used
-	soleCaller bool   // an agent serves this process alone: what it has counts at once, and it is silent while its own discovery is down
-
-	// The deadlines in force, each zero for none. A change that was missed counts as notified by the nearest.
-	reachedDeadline, movedDeadline, endedDeadline Millis
-
-	reachable           bool                         // discovery has taken in a call since the last list and was not found down since
-	consecutiveRefusals int                          // calls in a row that were refused at once
-	queuedRefusals      int                          // calls that were refused after a wait, since the last list or configuration
-	lastRefusalsAt      [maxConsecutiveFaults]Millis // when the last calls were refused at once, the oldest first
-	lastMaybeDownAt     Millis                       // the last time at which discovery may have been down; zero for none
+	bounds NotificationBounds
+	// margin is the time from a deadline to the expiry of the lease: the usable part of the drain grace period.
+	margin Millis
+	// soleCaller is set if a local agent serves this process alone. Changes that it has received count as notified at once, and
+	// it does not answer while its own discovery is down.
+	soleCaller bool
+
+	// A missed change counts as notified at the nearest of these deadlines. Zero stands for no deadline.
+	reachedDeadline Millis // NotificationBounds.Reached after discovery had the change and could be reached
+	movedDeadline   Millis // NotificationBounds.Moved after a new configuration
+	endedDeadline   Millis // NotificationBounds.Ended after the end of a watch
+
+	reachable           bool                         // discovery has accepted a call since the last list and was not found down since
+	consecutiveRefusals int                          // consecutive calls that were refused at once
+	queuedRefusals      int                          // calls refused after a wait, since the last list or configuration
+	lastRefusalsAt      [maxConsecutiveFaults]Millis // when the last calls were refused at once, oldest first
+	lastMaybeDownAt     Millis                       // latest time at which discovery may have been down; zero for none
 	endedOrderly        bool                         // the watch was ended by its service
-	serviceRunning      bool                         // so that the service runs, as far as no refusal has shown since
-	lastQueuedRefusalAt Millis                       // when a call was refused after a wait last
+	serviceRunning      bool                         // the orderly end of the watch showed a running service, and no call was refused since
+	lastQueuedRefusalAt Millis                       // when a call was last refused after a wait
 	suspended           bool
-	suspendedUntil      Millis // end of the suspension
-	timerAt             Millis // of the timer that is set for the lease's end
+	suspendedUntil      Millis // latest end of the suspension
+	timerAt             Millis // when the timer for the expiry of the lease fires
 }
 
-// startLease begins without a watch: with an old list, or with none.
+// startLease starts the lease of a new process, which has no watch and an old list or none.
 func (b *Balancer) startLease(t Terms) {
 	b.lease = lease{bounds: t.Notified, margin: max(t.DrainGrace-leaseStallAllowance, 0), soleCaller: t.SoleCaller}
 	b.lease.reachedDeadline = b.now + t.Notified.Reached
@@ -63,8 +72,8 @@
 	b.updateLease()
 }
 
-// TookOver says that this process takes the clients of the one before, whose watch ends with it. Vouched is that the one before still
-// has a watch.
+// TookOver reports that this process takes over the clients of its predecessor, whose watch ends with it. predecessorWatching tells
+// whether the predecessor still has a watch.
 func (b *Balancer) TookOver(predecessorWatching bool) {
 	if b.calls.watching {
 		return
@@ -76,14 +85,14 @@
 	b.updateLease()
 }
 
-// leaseHeard says that a watch has told its list: it holds the lease from here on.
+// leaseListReceived handles the list of a new watch, which holds the lease from then on.
 func (b *Balancer) leaseListReceived() {
 	l := &b.lease
 	b.lease = lease{bounds: l.bounds, margin: l.margin, soleCaller: l.soleCaller, suspended: l.suspended, timerAt: l.timerAt}
 	b.endSuspension()
 }
 
-// leaseWatchEnded says that the watch has ended that held the lease, so long after it was last heard.
+// leaseWatchEnded handles the end of the watch that held the lease, silentFor after the last message on it.
 func (b *Balancer) leaseWatchEnded(silentFor Millis, orderly bool) {
 	l := &b.lease
 	l.endedOrderly, l.serviceRunning = orderly, orderly && !l.soleCaller
@@ -97,7 +106,8 @@
 	b.updateLease()
 }
 
-// EarlierWatchEnded says that the watch of the discovery before has ended, which was believed until the new one tells its list.
+// EarlierWatchEnded reports the end of the watch of the previous discovery service, which is relied on until the new service
+// delivers its list.
 func (b *Balancer) EarlierWatchEnded() {
 	if !b.calls.watching {
 		b.lease.endedDeadline = earlierDeadline(b.lease.endedDeadline, b.now+b.lease.bounds.Ended)
@@ -105,7 +115,7 @@
 	}
 }
 
-// nearer is the nearer of a deadline that may be none, as zero, and another one.
+// earlierDeadline returns the earlier of two deadlines. The first may be zero, which stands for none.
 func earlierDeadline(deadline, other Millis) Millis {
 	if deadline == 0 {
 		return other
@@ -113,25 +123,26 @@
 	return min(deadline, other)
 }
 
-// leaseMoved says that a new configuration names another discovery. The first of a series sets the deadline.
+// leaseDiscoveryMoved handles a new configuration that names another discovery service. The first of a series sets the deadline.
 func (b *Balancer) leaseDiscoveryMoved() {
 	l := &b.lease
 	if l.reachedDeadline == 0 {
-		l.reachable = false // what the discovery before owed still counts
+		l.reachable = false // otherwise the deadline set with the previous service still applies
 	}
 	l.consecutiveRefusals, l.queuedRefusals = 0, 0
 	l.movedDeadline = earlierDeadline(l.movedDeadline, b.now+l.bounds.Moved)
 	b.updateLease()
 }
 
-// leaseRefused says that a call was refused, so long after it was made. As long as no call has shown that discovery can be reached,
-// after a wait, and after more refusals in a row than faults of single calls make, it may have been down until now. What it surely was
-// down at is earlier: at the start of a call that waited, and at the last refusal with so many more behind it.
+// leaseCallRefused handles a call that was refused the given time after it was made. Discovery may then have been down until now
+// if no call has shown that it can be reached, if the call was refused after a wait, or if more consecutive calls were refused
+// than faults of single calls explain. The time at which it is known to have been down is earlier: the start of a call that
+// waited, or the last refusal at once that maxConsecutiveFaults more have followed.
 func (b *Balancer) leaseCallRefused(waited Millis) {
 	l := &b.lease
 	queued, downAt := waited >= minQueuedRefusal, b.now-waited
 	if queued {
-		if downAt >= l.lastQueuedRefusalAt { // calls that end together were one wait
+		if downAt >= l.lastQueuedRefusalAt { // calls that were open together count as one wait
 			l.queuedRefusals++
 		}
 		l.lastQueuedRefusalAt = b.now
@@ -145,7 +156,8 @@
 	b.updateLease()
 }
 
-// judgeReach draws from refusals whether discovery may be down, which it surely was at some time.
+// updateReachable updates, after a refusal, whether discovery may be down, and the deadline that follows from the time at which it
+// is known to have been down.
 func (l *lease) updateReachable(queued bool, knownDownAt, now Millis) {
 	repeated := l.consecutiveRefusals > maxConsecutiveFaults
 	l.serviceRunning = false
@@ -167,7 +179,8 @@
 	}
 }
 
-// ListReached says that discovery has taken in a call: it has kept it open for a while without an answer, or has begun one.
+// ListCallAccepted reports that discovery has accepted a call: it has kept the call open for a while without an answer, or, if
+// answering is set, has begun an answer.
 func (b *Balancer) ListCallAccepted(answering bool) {
 	if l := &b.lease; answering || !l.soleCaller {
 		l.reachable, l.consecutiveRefusals = true, 0
@@ -175,10 +188,10 @@
 	}
 }
 
-// Suspended tells that no new attempt may begin, since the lease on the list has ended.
+// Suspended reports whether new legs are suspended because the lease on the list has expired.
 func (b *Balancer) Suspended() bool { return b.lease.suspended }
 
-// ends is when the lease ends; infinite while it does not.
+// expiresAt returns when the lease expires; infinite if no deadline is set.
 func (l *lease) expiresAt() Millis {
 	expiry := Millis(math.Inf(1))
 	for _, deadline := range []Millis{l.reachedDeadline, l.movedDeadline, l.endedDeadline} {
@@ -189,8 +202,8 @@
 	return expiry
 }
 
-// suspensionEnds is until when attempts are suspended at most that are from now on. Where discovery may have come back later than the
-// lease supposes, so much longer.
+// suspensionLimit returns the latest end of a suspension that begins now. It is later by as much as discovery may have come back
+// after the time that the lease assumes.
 func (l *lease) suspensionLimit(now Millis) Millis {
 	extension := Millis(0)
 	if l.reachedDeadline > 0 && l.reachedDeadline+l.margin <= now+timerSlack {
@@ -199,7 +212,7 @@
 	return now + maxSuspension + extension
 }
 
-// reviewLease suspends attempts or lets them go on, as the lease stands now.
+// updateLease suspends new legs or resumes them, depending on the current state of the lease.
 func (b *Balancer) updateLease() {
 	l := &b.lease
 	if !b.pullsList || l.bounds.Reached <= 0 {
@@ -225,7 +238,7 @@
 	}
 }
 
-// letGo drops the deadlines that are over: attempts were suspended for them for as long as may be.
+// dropExpired drops the deadlines that have passed: legs have been suspended on their account for as long as is allowed.
 func (l *lease) dropExpired(now Millis) {
 	for _, deadline := range []*Millis{&l.reachedDeadline, &l.movedDeadline, &l.endedDeadline} {
 		if now+timerSlack >= *deadline+l.margin {
@@ -234,7 +247,7 @@
 	}
 }
 
-// wakeAtLeaseEnd sets the timer, unless one is set that comes no later.
+// setLeaseTimer sets the timer for the expiry of the lease, unless one is set that fires no later.
 func (b *Balancer) setLeaseTimer() {
 	l, expiry := &b.lease, b.lease.expiresAt()
 	if math.IsInf(float64(expiry), 1) || l.timerAt > b.now && l.timerAt <= expiry {
@@ -244,7 +257,7 @@
 	b.SetTimer(expiry-b.now, leaseTimer)
 }
 
-// resume lets attempts begin again, first for the requests that wait.
+// endSuspension allows new legs again, first for the queued requests.
 func (b *Balancer) endSuspension() {
 	if b.lease.suspended {
 		b.lease.suspended = false
--- a/logic/lease_deadlines_test.go
+++ b/logic/lease_deadlines_test.go
@@ -6,10 +6,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// leaseGrace is the grace for drains in these tests.
+// leaseDrainGrace is the drain grace period in these tests.
 const leaseDrainGrace Millis = 500
 
-// lostWatch has a watch end at 10000 in place of telling, and a call taken in 0.3 s later.
+// newLeaseSimulationWithEndedWatch returns a simulation in which the service ended the watch at 10000 instead of sending an update,
+// and discovery accepted a call 0.3 s later.
 func newLeaseSimulationWithEndedWatch() *leaseSimulation {
 	s := newLeaseSimulation(Terms{DrainGrace: leaseDrainGrace})
 	s.simulateUntil(10000)
@@ -172,7 +173,7 @@
 	sim.simulateUntil(10300)
 	sim.b.ListCallAccepted(false)
 	sim.simulateUntil(12000 + leaseDrainGrace - leaseStallAllowance)
-	assert.Equal(t, shedBefore, sim.shed, "before the lease's end")
+	assert.Equal(t, shedBefore, sim.shed, "before the lease expires")
 	sim.simulateUntil(sim.now + 200)
 	sim.receiveList()
 	sim.simulateUntil(sim.now + 1000)
--- a/logic/lease_test.go
+++ b/logic/lease_test.go
@@ -7,15 +7,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// leaseWorld drives one instance with two endpoints, a request each leaseRequestEvery, and discovery's events by hand.
+// leaseSimulation runs one Balancer with two endpoints and a request every leaseRequestInterval. The tests issue the events of
+// discovery.
 type leaseSimulation struct {
 	Outgoing
 	eventQueue
 	b             *Balancer
-	sentAt        []Millis // when attempts began
+	sentAt        []Millis // start times of the legs
 	shed          int
-	legDuration   Millis // that an attempt takes
-	pendingTimers int    // that are set and have not come
+	legDuration   Millis
+	pendingTimers int // timers that are set and have not fired
 	arrivals      int
 }
 
@@ -41,7 +42,7 @@
 
 func (s *leaseSimulation) Shed(ExchangeID, Reason, Millis) { s.shed++ }
 
-// newLeaseWorld has heard its list at 2000.
+// newLeaseSimulation returns a simulation that received its list at 2000.
 func newLeaseSimulation(terms Terms) *leaseSimulation {
 	s := newLeaseSimulationWithoutList(terms)
 	s.simulateUntil(2000)
@@ -50,7 +51,7 @@
 	return s
 }
 
-// newUnheardLeaseWorld starts at 1000 and has heard nothing.
+// newLeaseSimulationWithoutList returns a simulation that starts at 1000 and has received no list.
 func newLeaseSimulationWithoutList(terms Terms) *leaseSimulation {
 	s := &leaseSimulation{Outgoing: discardOutgoing{}, eventQueue: eventQueue{now: 1000}, legDuration: 1}
 	terms.PullList, terms.Fleet, terms.MaxListWait, terms.MaxLegs, terms.TimerTick = true, 6, 1200, 3, 5
@@ -82,7 +83,7 @@
 	s.b.SetNow(s.now)
 }
 
-// refuseEvery has a call refused at once each pause, until an end.
+// refuseCallsUntil refuses a call at once after each pause, until end.
 func (s *leaseSimulation) refuseCallsUntil(pause, end Millis) {
 	for s.now+pause < end {
 		s.simulateUntil(s.now + pause)
@@ -91,7 +92,7 @@
 	s.simulateUntil(end)
 }
 
-// sentIn counts the attempts that began in a time.
+// legsSentIn counts the legs that started from one time up to another.
 func (s *leaseSimulation) legsSentIn(from, to Millis) (n int) {
 	for _, at := range s.sentAt {
 		if at >= from && at < to {
@@ -101,7 +102,8 @@
 	return n
 }
 
-// Each event sets a deadline, and no attempt begins from there on, less the stall that a process may have, until a list is heard.
+// Each event sets a deadline. No leg starts from the deadline plus the grace period, less the allowance for stalls of the process,
+// until a list is received.
 func TestNoLegStartsAfterLeaseExpiry(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -112,9 +114,9 @@
 		{"watch ended", 500, func(b *Balancer) { b.WatchEnded(0, true) }, 2000},
 		{"watch ended, short grace", 100, func(b *Balancer) { b.WatchEnded(0, true) }, 2000},
 		{"watch ended, long grace", 2000, func(b *Balancer) { b.WatchEnded(0, true) }, 2000},
-		{"watch silent for 5 s", 500, func(b *Balancer) { b.WatchEnded(5000, false) }, 1000},
+		{"watch ended after 5 s of silence", 500, func(b *Balancer) { b.WatchEnded(5000, false) }, 1000},
 		{"new configuration", 500, func(b *Balancer) { b.DiscoveryMoved() }, 4000},
-		{"new configurations in a row", 500, func(b *Balancer) { b.DiscoveryMoved(); b.DiscoveryMoved() }, 4000},
+		{"two new configurations", 500, func(b *Balancer) { b.DiscoveryMoved(); b.DiscoveryMoved() }, 4000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sim := newLeaseSimulation(Terms{DrainGrace: c.grace})
@@ -123,14 +125,14 @@
 			sim.schedule(300, func() { sim.b.SetNow(sim.now); sim.b.ListCallAccepted(false) })
 			expiry := 10000 + c.expiresAfter + max(c.grace-leaseStallAllowance, 0)
 			sim.simulateUntil(expiry + 600)
-			assert.InDelta(t, float64(expiry-10000)/float64(leaseRequestInterval), sim.legsSentIn(10000, expiry), 2, "until the lease ends")
-			assert.Zero(t, sim.legsSentIn(expiry, sim.now), "after the lease's end")
+			assert.InDelta(t, float64(expiry-10000)/float64(leaseRequestInterval), sim.legsSentIn(10000, expiry), 2, "until the lease expires")
+			assert.Zero(t, sim.legsSentIn(expiry, sim.now), "after the lease has expired")
 			assert.True(t, sim.b.Suspended())
 			receivedAt := sim.now
 			sim.receiveList()
 			assert.False(t, sim.b.Suspended())
 			sim.simulateUntil(receivedAt + 1000)
-			assert.GreaterOrEqual(t, sim.legsSentIn(receivedAt, sim.now), int(1000/leaseRequestInterval), "once a list is heard")
+			assert.GreaterOrEqual(t, sim.legsSentIn(receivedAt, sim.now), int(1000/leaseRequestInterval), "once a list is received")
 		})
 	}
 }
@@ -141,16 +143,16 @@
 	sim.b.WatchEnded(0, true)
 	sim.refuseCallsUntil(800, 130000)
 	assert.InDelta(t, 120000/float64(leaseRequestInterval), sim.legsSentIn(10000, 130000), 2)
-	assert.Less(t, sim.pendingTimers, 300, "timers that are set")
+	assert.Less(t, sim.pendingTimers, 300, "pending timers")
 
 	sim.b.ListCallAccepted(false)
 	knownDownAt := 130000 - (maxConsecutiveFaults+1)*Millis(800)
 	sim.simulateUntil(knownDownAt + 6200)
-	assert.False(t, sim.b.Suspended(), "the time begins anew with discovery's return")
+	assert.False(t, sim.b.Suspended(), "the time restarts when discovery comes back")
 	sim.simulateUntil(knownDownAt + 6300)
-	assert.True(t, sim.b.Suspended(), "and ends 6 s after the last refusal that was no fault of a single call")
+	assert.True(t, sim.b.Suspended(), "the lease expires 6 s after the last refusal that cannot be a fault of a single call")
 	sim.simulateUntil(130000 - 800 + 6250 + maxSuspension - 50)
-	assert.True(t, sim.b.Suspended(), "until it would end had discovery come back with the last of them")
+	assert.True(t, sim.b.Suspended(), "suspended until the lease would expire if discovery had come back with the last refusal")
 	sim.simulateUntil(130000 + 6250 + maxSuspension)
 	assert.False(t, sim.b.Suspended())
 }
@@ -167,7 +169,7 @@
 	sim.simulateUntil(knownDownAt + 6300)
 	assert.True(t, sim.b.Suspended())
 	sim.refuseCallsUntil(200, knownDownAt+7300)
-	assert.False(t, sim.b.Suspended(), "a row of refusals shows that it is down")
+	assert.False(t, sim.b.Suspended(), "consecutive refusals show that discovery is down")
 }
 
 func TestASuspensionEndsWhenDiscoveryDoesNotAnswer(t *testing.T) {
@@ -178,7 +180,7 @@
 	sim.b.ListCallAccepted(false)
 	sim.simulateUntil(60000)
 	assert.Zero(t, sim.legsSentIn(12260, 12250+maxSuspension))
-	assert.Zero(t, sim.legsSentIn(16260, 16250+maxSuspension), "for the later deadline")
+	assert.Zero(t, sim.legsSentIn(16260, 16250+maxSuspension), "suspended again for the later deadline")
 	assert.InDelta(t, (60000-16250-float64(maxSuspension))/float64(leaseRequestInterval), sim.legsSentIn(16250+maxSuspension, 60000), 60)
 }
 
