--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -146,7 +146,7 @@
 	previous                 openWatch // of the discovery before, believed until the new one has told its list
 	siblingWatches           bool      // another process of this sidecar has a watch of the discovery in force
 	outage                   outage
-	named                    map[logic.EndpointID]bool // true: by the last whole list or since
+	listed                   map[logic.EndpointID]bool // true: by the last whole list or since
 	hadAddr                  map[logic.EndpointID]bool // had an address once
 	entries                  map[logic.EndpointID]listEntry
 	drained                  map[logic.EndpointID]drainRecord
@@ -188,23 +188,23 @@
 
 // inventory is the list as it stands.
 func (d *discoveryClient) snapshot() endpointList {
-	i := endpointList{version: d.version, full: true}
+	list := endpointList{version: d.version, full: true}
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
-		i.servers = append(i.servers, d.entries[id])
+		list.servers = append(list.servers, d.entries[id])
 	}
-	return i
+	return list
 }
 
 func newDiscoveryClient(addr string, silenceTimeout time.Duration, names *terms.Names) *discoveryClient {
 	return &discoveryClient{
-		addr: addr, version: noVersion, silenceTimeout: silenceTimeout, names: names, calls: map[int]openCall{}, named: map[logic.EndpointID]bool{},
+		addr: addr, version: noVersion, silenceTimeout: silenceTimeout, names: names, calls: map[int]openCall{}, listed: map[logic.EndpointID]bool{},
 		hadAddr: map[logic.EndpointID]bool{}, entries: map[logic.EndpointID]listEntry{}, drained: map[logic.EndpointID]drainRecord{},
 	}
 }
 
 func (d *discoveryClient) markAllUnlisted() {
-	for id := range d.named {
-		d.named[id] = false
+	for id := range d.listed {
+		d.listed[id] = false
 	}
 }
 
@@ -212,12 +212,12 @@
 	if e.addr == "" {
 		e.addr = d.entries[id].addr
 	}
-	d.named[id], d.entries[id] = true, e
+	d.listed[id], d.entries[id] = true, e
 }
 
 // drop lets go of all that is held of an endpoint: ids are ever new, and never come back.
 func (d *discoveryClient) forget(id logic.EndpointID) {
-	delete(d.named, id)
+	delete(d.listed, id)
 	delete(d.hadAddr, id)
 	delete(d.entries, id)
 }
@@ -230,8 +230,8 @@
 
 // missing drops what a whole list of this version did not name.
 func (d *discoveryClient) removeUnlisted(version int64, now time.Time) (gone []logic.EndpointID) {
-	for id, named := range d.named {
-		if !named {
+	for id, listed := range d.listed {
+		if !listed {
 			gone = append(gone, id)
 			d.recordDrain(id, 0, version, now)
 			d.forget(id)
@@ -266,24 +266,24 @@
 // dropOldCalls gives up the oldest calls to earlier discoveries beyond their bound.
 func (d *discoveryClient) cancelExcessPreviousCalls() {
 	var previous []int
-	for number, c := range d.calls {
+	for call, c := range d.calls {
 		if c.generation != d.generation {
-			previous = append(previous, number)
+			previous = append(previous, call)
 		}
 	}
 	slices.Sort(previous)
-	for _, number := range previous[:max(len(previous)-maxPreviousCalls, 0)] {
-		d.calls[number].cancel()
-		delete(d.calls, number)
+	for _, call := range previous[:max(len(previous)-maxPreviousCalls, 0)] {
+		d.calls[call].cancel()
+		delete(d.calls, call)
 	}
 }
 
 // dropNewestCall gives up the newest open call to the discovery in force: those before it keep their places in the queue.
 func (d *discoveryClient) cancelNewestCall() {
 	newest := 0
-	for number, c := range d.calls {
+	for call, c := range d.calls {
 		if c.generation == d.generation {
-			newest = max(newest, number)
+			newest = max(newest, call)
 		}
 	}
 	if c, open := d.calls[newest]; open {
@@ -301,20 +301,20 @@
 
 // believes tells whether what a call says still counts, and whether it is the first word of a watch that is now in force.
 // The new discovery's first word ends all that the one before still says.
-func (d *discoveryClient) acceptFrom(number int) (accepted, first bool) {
-	c, open := d.calls[number]
+func (d *discoveryClient) acceptFrom(call int) (accepted, first bool) {
+	c, open := d.calls[call]
 	switch {
-	case number == fromPusher:
+	case call == fromPusher:
 		return d.lastCall == 0, false
-	case number == fromSibling:
+	case call == fromSibling:
 		return true, false
-	case number == d.current.call || number == d.previous.call:
+	case call == d.current.call || call == d.previous.call:
 		return true, false
 	case !open:
 		return false, false
 	}
-	delete(d.calls, number)
-	opened := openWatch{call: number, cancel: c.cancel}
+	delete(d.calls, call)
+	opened := openWatch{call: call, cancel: c.cancel}
 	if c.generation != d.generation {
 		d.previous.close()
 		d.previous = opened
@@ -384,8 +384,8 @@
 }
 
 // age is how long ago a call began that has told nothing yet; 0 for any other.
-func (d *discoveryClient) callAge(number int) time.Duration {
-	if c, open := d.calls[number]; open {
+func (d *discoveryClient) callAge(call int) time.Duration {
+	if c, open := d.calls[call]; open {
 		return time.Since(c.began)
 	}
 	return 0
@@ -401,21 +401,21 @@
 		d.cancelNewestCall()
 	}
 	d.lastCall++
-	number, afterVersion := d.lastCall, d.version
+	call, afterVersion := d.lastCall, d.version
 	outcome := &callError{Addr: d.addr, Began: time.Now()}
 	ctx, cancel := context.WithCancel(ctx)
-	d.calls[number] = openCall{began: outcome.Began, generation: d.generation, cancel: cancel}
+	d.calls[call] = openCall{began: outcome.Began, generation: d.generation, cancel: cancel}
 	go func() {
 		defer cancel()
 		accepted := func(answering bool) {
 			if ctx.Err() == nil {
-				post(discoveryCallAccepted{call: number, answering: answering})
+				post(discoveryCallAccepted{call: call, answering: answering})
 			}
 		}
-		outcome.Cause = d.follow(ctx, afterVersion, outcome, accepted, func(list endpointList) { post(listReceived{endpointList: list, call: number}) })
+		outcome.Cause = d.follow(ctx, afterVersion, outcome, accepted, func(list endpointList) { post(listReceived{endpointList: list, call: call}) })
 		if ctx.Err() == nil {
 			outcome.Duration = time.Since(outcome.Began)
-			post(discoveryCallEnded{call: number, cause: outcome})
+			post(discoveryCallEnded{call: call, cause: outcome})
 		}
 	}()
 	return true
@@ -437,37 +437,37 @@
 
 // goOn is until when more of what began has to come. It has no longer than silence in all: a discovery that says a byte now
 // and then would keep its news for ever.
-func (h *watchReader) continueBy() time.Time {
+func (r *watchReader) continueBy() time.Time {
 	now := time.Now()
-	if h.partialSince.IsZero() {
-		h.partialSince = now
+	if r.partialSince.IsZero() {
+		r.partialSince = now
 	}
-	completeBy, continueBy := h.partialSince.Add(h.silenceTimeout), now.Add(min(partialLineTimeout, h.silenceTimeout))
+	completeBy, continueBy := r.partialSince.Add(r.silenceTimeout), now.Add(min(partialLineTimeout, r.silenceTimeout))
 	if continueBy.Before(completeBy) {
 		return continueBy
 	}
 	return completeBy
 }
 
-func (h *watchReader) Read(p []byte) (int, error) {
+func (r *watchReader) Read(p []byte) (int, error) {
 	switch {
-	case h.midObject:
-		h.SetReadDeadline(h.continueBy())
-	case !h.midLine:
-		h.partialSince = time.Time{}
+	case r.midObject:
+		r.SetReadDeadline(r.continueBy())
+	case !r.midLine:
+		r.partialSince = time.Time{}
 	}
-	n, err := h.Conn.Read(p)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && h.lateReads < maxLateReads {
-		h.lateReads++
-		h.SetReadDeadline(time.Now().Add(lateReadTimeout))
-		n, err = h.Conn.Read(p)
+	n, err := r.Conn.Read(p)
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && r.lateReads < maxLateReads {
+		r.lateReads++
+		r.SetReadDeadline(time.Now().Add(lateReadTimeout))
+		n, err = r.Conn.Read(p)
 	}
 	if n > 0 && p[n-1] != '\n' {
-		h.midLine = true
-		h.SetReadDeadline(h.continueBy())
-	} else if n > 0 && h.midLine {
-		h.midLine = false
-		h.SetReadDeadline(time.Now().Add(h.silenceTimeout))
+		r.midLine = true
+		r.SetReadDeadline(r.continueBy())
+	} else if n > 0 && r.midLine {
+		r.midLine = false
+		r.SetReadDeadline(time.Now().Add(r.silenceTimeout))
 	}
 	return n, err
 }
@@ -554,34 +554,34 @@
 }
 
 // next takes p up to the end of an object, which it returns, or of a line between two, which is a beat.
-func (w *objectSplitter) next(p []byte) (object []byte, heartbeat bool, rest []byte, err error) {
+func (s *objectSplitter) next(p []byte) (object []byte, heartbeat bool, rest []byte, err error) {
 	for n, c := range p {
 		switch {
-		case w.escaped:
-			w.escaped = false
-		case w.inString:
-			w.escaped, w.inString = c == '\\', c != '"'
-		case w.depth == 0 && (c == ' ' || c == '\t' || c == '\r'):
-		case w.depth == 0 && c == '\n':
+		case s.escaped:
+			s.escaped = false
+		case s.inString:
+			s.escaped, s.inString = c == '\\', c != '"'
+		case s.depth == 0 && (c == ' ' || c == '\t' || c == '\r'):
+		case s.depth == 0 && c == '\n':
 			return nil, true, p[n+1:], nil
-		case w.depth == 0 && c != '{':
+		case s.depth == 0 && c != '{':
 			return nil, false, nil, errNotAList
 		case c == '"':
-			w.inString = true
+			s.inString = true
 		case c == '{' || c == '[':
-			w.depth++
+			s.depth++
 		case c == '}' || c == ']':
-			if w.depth--; w.depth == 0 {
-				object = append(w.pending, p[:n+1]...)
-				w.pending = object[:0]
+			if s.depth--; s.depth == 0 {
+				object = append(s.pending, p[:n+1]...)
+				s.pending = object[:0]
 				return object, false, p[n+1:], nil
 			}
 		}
 	}
-	if w.depth > 0 {
-		w.pending = append(w.pending, p...)
+	if s.depth > 0 {
+		s.pending = append(s.pending, p...)
 	}
-	if len(w.pending) > maxListBytes {
+	if len(s.pending) > maxListBytes {
 		err = errNotAList
 	}
 	return nil, false, nil, err
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -326,7 +326,7 @@
 	seen := make(chan [4]int)
 	r.loop.post(loopFunc(func(l *loop) {
 		_, links := l.upstream.sockets.connections()
-		seen <- [4]int{len(l.upstream.endpoints), len(l.list.hadAddr), len(l.list.named), links}
+		seen <- [4]int{len(l.upstream.endpoints), len(l.list.hadAddr), len(l.list.listed), links}
 	}))
 	assert.Equal(t, [4]int{1, 1, 1, 0}, <-seen)
 }
--- a/internal/sidecar/list_events.go
+++ b/internal/sidecar/list_events.go
@@ -58,7 +58,7 @@
 		l.log.Info("endpoints drain or are gone", zap.Int("count", len(drained)), zap.Strings("first", drained[:min(len(drained), maxLoggedEndpoints)]),
 			zap.Int64("version", e.version), zap.Bool("whole_list", e.full), zap.Bool("from_sibling", e.call == fromSibling))
 	}
-	l.upstream.limitIdle(len(l.list.named))
+	l.upstream.limitIdle(len(l.list.listed))
 	l.module.ListEnds(e.fromDisk)
 	e.publish(l)
 	switch applied = true; {
@@ -78,12 +78,12 @@
 		l.list.markAllUnlisted()
 	}
 	l.list.expireDrains(now)
-	for _, s := range e.servers {
-		if older && s.running {
+	for _, entry := range e.servers {
+		if older && entry.running {
 			continue
 		}
-		if e.applyEntry(l, s, now) {
-			drained = append(drained, s.id)
+		if e.applyEntry(l, entry, now) {
+			drained = append(drained, entry.id)
 		}
 	}
 	if !e.full {
@@ -97,29 +97,29 @@
 }
 
 // bookEntry books one entry, and tells whether it takes out an endpoint that was in service.
-func (e listReceived) applyEntry(l *loop, s listEntry, now time.Time) (drained bool) {
-	id := logic.EndpointID(s.id)
-	if l.list.stillDrained(s, e.version) {
-		s.running = false
-	} else if !s.running {
-		l.list.recordDrain(id, s.started, e.version, now)
+func (e listReceived) applyEntry(l *loop, entry listEntry, now time.Time) (drained bool) {
+	id := logic.EndpointID(entry.id)
+	if l.list.stillDrained(entry, e.version) {
+		entry.running = false
+	} else if !entry.running {
+		l.list.recordDrain(id, entry.started, e.version, now)
 	}
 	health := logic.NotRunning
-	if s.running && l.list.hasAddr(id, s.addr) {
+	if entry.running && l.list.hasAddr(id, entry.addr) {
 		health = logic.Running
 	}
 	drained = health != logic.Running && l.list.entries[id].running
-	if s.gone {
+	if entry.gone {
 		health = logic.Gone
 		l.upstream.remove(id)
 		l.list.forget(id)
 	} else {
-		l.upstream.applyListed(id, s.addr, health == logic.Running)
-		l.upstream.setLocality(id, s.zone, s.kind)
-		l.list.recordEntry(id, s)
-		l.operatorDrains.Listed(s.id)
+		l.upstream.applyListed(id, entry.addr, health == logic.Running)
+		l.upstream.setLocality(id, entry.zone, entry.kind)
+		l.list.recordEntry(id, entry)
+		l.operatorDrains.Listed(entry.id)
 	}
-	l.module.Listed(id, health, l.list.names.Zone([]byte(s.zone)), l.list.names.Kind([]byte(s.kind)), s.cell, s.weight, s.started)
+	l.module.Listed(id, health, l.list.names.Zone([]byte(entry.zone)), l.list.names.Kind([]byte(entry.kind)), entry.cell, entry.weight, entry.started)
 	return drained
 }
 
@@ -127,7 +127,7 @@
 func (e listReceived) publish(l *loop) {
 	l.counters.lists.Add(1)
 	l.counters.listVersion.Store(e.version)
-	l.counters.listEndpoints.Store(int64(len(l.list.named)))
+	l.counters.listEndpoints.Store(int64(len(l.list.listed)))
 	l.listLoaded.Store(true)
 	if !e.fromDisk && e.call != fromSibling {
 		l.watchHeard.Store(true)
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -20,23 +20,23 @@
 
 // Settings of both shapes in one file would start a sidecar that neither shares its endpoints nor knows its own load.
 func TestDeploymentSettingsMustNotBeMixed(t *testing.T) {
-	const old, peers = `"discovery":"a:2",`, `"peers":["a:3","b:3"],`
+	const discovery, peers = `"discovery":"a:2",`, `"peers":["a:3","b:3"],`
 	pool := `{"fleet-size":2,"me":1,"registry-mode":"pushed","allowed":{"peers":true,"multiplex":%s},"products":[{}]}`
 	for _, c := range []struct{ name, keys, settings, fault, lacks string }{
-		{"of old", old, `{"products":[{}]}`, "", ""},
-		{"a pool whose lists are asked for", old + peers, `{"fleet-size":2,"allowed":{"peers":true},"products":[{}]}`, "",
+		{"of old", discovery, `{"products":[{}]}`, "", ""},
+		{"a pool whose lists are asked for", discovery + peers, `{"fleet-size":2,"allowed":{"peers":true},"products":[{}]}`, "",
 			"settings.allowed.peers:"},
 		{"a pool whose lists are pushed", peers, fmt.Sprintf(pool, "1"), "", "settings.allowed.peers:"},
 		{"with many on a connection", peers, fmt.Sprintf(pool, "100"), "", "settings.allowed.peers:"},
 		{"pushed, no agent", "", `{"registry-mode":"pushed","products":[{}]}`, "", "discovery:"},
-		{"peers without leave", old + peers, `{"fleet-size":2,"products":[{}]}`, "peers:", ""},
-		{"leave without peers", old, `{"fleet-size":2,"allowed":{"peers":true},"products":[{}]}`, "peers:", ""},
-		{"too few peers", old + `"peers":["a:3"],`, `{"fleet-size":2,"allowed":{"peers":true},"products":[{}]}`, "peers:", ""},
-		{"no address", old + `"peers":["a:3",7],`, `{"fleet-size":2,"allowed":{"peers":true},"products":[{}]}`, "peers[1]:", ""},
-		{"pushed to an agent", old, `{"registry-mode":"pushed","products":[{}]}`, "", ""},
+		{"peers without leave", discovery + peers, `{"fleet-size":2,"products":[{}]}`, "peers:", ""},
+		{"leave without peers", discovery, `{"fleet-size":2,"allowed":{"peers":true},"products":[{}]}`, "peers:", ""},
+		{"too few peers", discovery + `"peers":["a:3"],`, `{"fleet-size":2,"allowed":{"peers":true},"products":[{}]}`, "peers:", ""},
+		{"no address", discovery + `"peers":["a:3",7],`, `{"fleet-size":2,"allowed":{"peers":true},"products":[{}]}`, "peers[1]:", ""},
+		{"pushed to an agent", discovery, `{"registry-mode":"pushed","products":[{}]}`, "", ""},
 		{"pushed to an agent without a port", `"discovery":"a",`, `{"registry-mode":"pushed","products":[{}]}`, "discovery", ""},
-		{"many on a connection, no pool", old, `{"allowed":{"multiplex":100},"products":[{}]}`, "settings.allowed.multiplex:", ""},
-		{"a wrong figure", old, `{"fleet-size":-2,"products":[{}]}`, "settings.fleet-size:", ""},
+		{"many on a connection, no pool", discovery, `{"allowed":{"multiplex":100},"products":[{}]}`, "settings.allowed.multiplex:", ""},
+		{"a wrong figure", discovery, `{"fleet-size":-2,"products":[{}]}`, "settings.fleet-size:", ""},
 		{"nobody to ask", "", `{"products":[{}]}`, "discovery", ""},
 	} {
 		s, err := Decode([]byte(`{"seed":"1f","listen":"a:1",` + c.keys + `"settings":` + c.settings + `}`))
@@ -107,13 +107,13 @@
 // datagrams nor a flood of them do any harm.
 func TestPoolOnLoopback(t *testing.T) {
 	slow, quick := newStubEndpoint(t, neverAnswer), newStubEndpoint(t, respondWith(okResponse, true))
-	ends := make([]net.PacketConn, 2)
+	conns := make([]net.PacketConn, 2)
 	addrs := make([]net.Addr, 2)
-	for n := range ends {
+	for n := range conns {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
-		ends[n], addrs[n] = c, c.LocalAddr()
+		conns[n], addrs[n] = c, c.LocalAddr()
 	}
 	pool := make([]*testSidecar, 2)
 	var pushConns [2]net.Conn
@@ -122,7 +122,7 @@
 		pushConns[n] = here
 		pool[n] = startSidecar(t, "null", func(s *Start) {
 			s.terms.Peers, s.terms.Fleet, s.terms.SidecarNumber, s.terms.PullList = true, 2, logic.PeerID(n), false
-			s.messages = &udpMessenger{ends[n], logic.PeerID(n), addrs}
+			s.messages = &udpMessenger{conns[n], logic.PeerID(n), addrs}
 			s.lists = linePusher{there}
 		})
 		t.Cleanup(func() { here.Close() })
@@ -145,7 +145,7 @@
 	}
 	for _, text := range []string{"", "\x00", "\x00short", "\x00" + strings.Repeat("x", 11), "\x09" + strings.Repeat("y", 2000)} {
 		for range 50 {
-			ends[0].WriteTo([]byte(text), addrs[1])
+			conns[0].WriteTo([]byte(text), addrs[1])
 		}
 	}
 	requireEventually(t, "too long a message", func() bool { return pool[1].loop.counters.messagesLost.Load() > 0 })
--- a/internal/sidecar/probe.go
+++ b/internal/sidecar/probe.go
@@ -32,7 +32,7 @@
 func (l *loop) Probe(id logic.EndpointID) {
 	target := l.upstream.find(id)
 	l.openProbes++
-	if target == nil || l.openProbes > 2*len(l.list.named)+8 {
+	if target == nil || l.openProbes > 2*len(l.list.listed)+8 {
 		go l.post(probeEnded{endpoint: id})
 		return
 	}
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -63,10 +63,10 @@
 }
 
 // say is a script that writes the same text each time.
-func respondWith(text string, goOn bool) func(net.Conn, *http.Request) bool {
+func respondWith(text string, keepOpen bool) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, _ *http.Request) bool {
 		c.Write([]byte(text))
-		return goOn
+		return keepOpen
 	}
 }
 
@@ -235,19 +235,19 @@
 			t.Cleanup(func() { u.sockets.upstreamConns = 0 })
 		}, logic.NotSent}, // it says nothing of the endpoint
 		{"drains while it dials", 100, func(u *upstream, g *leg) {
-			plain := u.dial
+			dial := u.dial
 			u.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				u.applyListed("s", addr, false)
-				return plain(ctx, network, addr)
+				return dial(ctx, network, addr)
 			}
 		}, logic.NoConnection},
 		{"stood still, the drain unread", 100, func(u *upstream, g *leg) {
-			turn := 0
+			checks := 0
 			u.updatesPending = func() bool {
-				if turn++; turn == 3 {
+				if checks++; checks == 3 {
 					u.applyListed("s", "", false)
 				}
-				return turn <= 3
+				return checks <= 3
 			}
 		}, logic.NoConnection},
 		{"moves while it dials", 100, func(u *upstream, g *leg) {
@@ -301,11 +301,11 @@
 
 // A connection rests between two requests: what belongs to none shows by then, and is never taken for the next answer.
 func TestConnectionIsNotReusedBeforeTheReuseDelay(t *testing.T) {
-	u, turn := newTestUpstream(t, 100), 0
+	u, answers := newTestUpstream(t, 100), 0
 	u.reuseDelay = time.Hour
 	s := newStubEndpoint(t, func(c net.Conn, _ *http.Request) bool {
-		turn++
-		return respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", turn), true)(c, nil)
+		answers++
+		return respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", answers), true)(c, nil)
 	})
 	for n := range 3 {
 		if n == 2 {
@@ -429,11 +429,11 @@
 func TestLegsStartWhileTheProcessKeepsStalling(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	u := newTestUpstream(t, 100)
-	looks := 0
-	u.updatesPending = func() bool { looks++; return true }
+	checks := 0
+	u.updatesPending = func() bool { checks++; return true }
 	r, fault := u.run(newTestLeg(u, s.Addr().String(), 10*time.Second))
 	assert.Equal(t, logic.Succeeded, outcomeOf(fault))
 	assert.NotNil(t, r)
-	assert.Equal(t, maxUpdateWaits, looks, "whoever reads the news had its turn")
+	assert.Equal(t, maxUpdateWaits, checks, "whoever reads the news had its turn")
 	assert.EqualValues(t, 1, s.requests.Load())
 }
