--- a/cmd/lynxjunction/main.go
+++ b/cmd/lynxjunction/main.go
@@ -30,7 +30,7 @@
 
 func root() *cobra.Command {
 	var path, level string
-	read := func() (*sidecar.Start, error) {
+	read := func() (*sidecar.Config, error) {
 		if path == "" {
 			return nil, errors.New("no configuration: set RELAY_CONFIG or --config")
 		}
--- a/internal/hands/file.go
+++ b/internal/hands/file.go
@@ -17,49 +17,49 @@
 )
 
 const (
-	turnTime = 2 * time.Second      // for the other process to let go of the file; whoever calls is answered before
-	turnBeat = 2 * time.Millisecond // between two asks for it
+	lockTimeout      = 2 * time.Second      // for the other process to let go of the file; whoever calls is answered before
+	lockPollInterval = 2 * time.Millisecond // between two asks for it
 )
 
 var errBusy = errors.New("the other process writes")
 
 // record is what the file holds.
 type record struct {
-	out    map[string]bool
-	ever   []string
-	serial uint64            // of this write; 0 for a build that wrote none
-	said   map[string]uint64 // the write that holds the latest call for an id
+	drained       map[string]bool
+	listed        []string
+	serial        uint64            // of this write; 0 for a build that wrote none
+	changeSerials map[string]uint64 // the write that holds the latest call for an id
 }
 
-func (r record) sortedOut() []string { return slices.Sorted(maps.Keys(r.out)) }
+func (r record) sortedDrained() []string { return slices.Sorted(maps.Keys(r.drained)) }
 
 // next is a copy to be changed and written.
 func (r record) next() record {
-	n := record{out: map[string]bool{}, serial: r.serial + 1, said: map[string]uint64{}}
-	maps.Copy(n.out, r.out)
-	maps.Copy(n.said, r.said)
+	n := record{drained: map[string]bool{}, serial: r.serial + 1, changeSerials: map[string]uint64{}}
+	maps.Copy(n.drained, r.drained)
+	maps.Copy(n.changeSerials, r.changeSerials)
 	return n
 }
 
-func (r *record) say(id string, out bool) {
-	r.said[id] = r.serial
-	if out {
-		r.out[id] = true
+func (r *record) setDrain(id string, drained bool) {
+	r.changeSerials[id] = r.serial
+	if drained {
+		r.drained[id] = true
 	} else {
-		delete(r.out, id)
+		delete(r.drained, id)
 	}
 }
 
 // forget bounds what is said by the ids that are known.
-func (r *record) forget(ever map[string]bool) {
-	maps.DeleteFunc(r.said, func(id string, _ uint64) bool { return !ever[id] })
+func (r *record) pruneChangeSerials(listed map[string]bool) {
+	maps.DeleteFunc(r.changeSerials, func(id string, _ uint64) bool { return !listed[id] })
 }
 
 // file is used by one goroutine.
 type file struct {
-	path    string
-	seen    os.FileInfo
-	replace func(path string, text []byte) error // a seam for tests
+	path     string
+	lastInfo os.FileInfo
+	replace  func(path string, text []byte) error // a seam for tests
 }
 
 func newFile(dir string) *file {
@@ -67,26 +67,26 @@
 }
 
 // load returns what the file holds if it has changed since the last look. No file at all is no news.
-func (f *file) load() (r record, fresh bool, err error) {
-	now, err := os.Stat(f.path)
+func (f *file) load() (r record, changed bool, err error) {
+	info, err := os.Stat(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return r, false, nil
 	}
-	if err == nil && f.seen != nil && os.SameFile(now, f.seen) && now.ModTime().Equal(f.seen.ModTime()) && now.Size() == f.seen.Size() {
+	if err == nil && f.lastInfo != nil && os.SameFile(info, f.lastInfo) && info.ModTime().Equal(f.lastInfo.ModTime()) && info.Size() == f.lastInfo.Size() {
 		return r, false, nil
 	}
-	if f.seen = now; err != nil {
+	if f.lastInfo = info; err != nil {
 		return r, true, err
 	}
 	text, err := os.ReadFile(f.path)
 	if err != nil {
 		return r, true, err
 	}
-	r, err = parse(text)
+	r, err = parseRecord(text)
 	return r, true, err
 }
 
-func parse(text []byte) (r record, err error) {
+func parseRecord(text []byte) (r record, err error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return r, err
@@ -105,24 +105,24 @@
 		}
 		return list, nil
 	}
-	out, err := ids("out")
+	drained, err := ids("out")
 	if err != nil {
 		return r, err
 	}
-	if r.ever, err = ids("ever"); err != nil {
+	if r.listed, err = ids("ever"); err != nil {
 		return r, err
 	}
-	r.out, r.said, r.serial = map[string]bool{}, map[string]uint64{}, v.GetUint64("serial")
-	for _, id := range out {
-		r.out[id] = true
+	r.drained, r.changeSerials, r.serial = map[string]bool{}, map[string]uint64{}, v.GetUint64("serial")
+	for _, id := range drained {
+		r.drained[id] = true
 	}
-	if said := v.GetObject("said"); said != nil {
-		said.Visit(func(id []byte, n *fastjson.Value) { r.said[string(id)], _ = n.Uint64() })
+	if changeSerials := v.GetObject("said"); changeSerials != nil {
+		changeSerials.Visit(func(id []byte, n *fastjson.Value) { r.changeSerials[string(id)], _ = n.Uint64() })
 	}
 	return r, nil
 }
 
-func (r record) text() []byte {
+func (r record) encode() []byte {
 	var a fastjson.Arena
 	list := func(ids []string) *fastjson.Value {
 		v := a.NewArray()
@@ -131,31 +131,31 @@
 		}
 		return v
 	}
-	v, said := a.NewObject(), a.NewObject()
-	v.Set("out", list(r.sortedOut()))
-	v.Set("ever", list(r.ever))
+	v, changeSerials := a.NewObject(), a.NewObject()
+	v.Set("out", list(r.sortedDrained()))
+	v.Set("ever", list(r.listed))
 	v.Set("serial", a.NewNumberString(fmt.Sprint(r.serial)))
-	for _, id := range slices.Sorted(maps.Keys(r.said)) {
-		said.Set(id, a.NewNumberString(fmt.Sprint(r.said[id])))
+	for _, id := range slices.Sorted(maps.Keys(r.changeSerials)) {
+		changeSerials.Set(id, a.NewNumberString(fmt.Sprint(r.changeSerials[id])))
 	}
-	v.Set("said", said)
+	v.Set("said", changeSerials)
 	return v.MarshalTo(nil)
 }
 
 // save is done once the record is on the disk.
 func (f *file) save(r record) error {
-	err := f.replace(f.path, r.text())
+	err := f.replace(f.path, r.encode())
 	if err == nil {
-		f.seen, err = os.Stat(f.path)
+		f.lastInfo, err = os.Stat(f.path)
 	}
 	return err
 }
 
 // replace puts a file in another's place whole: who reads meanwhile, or after a power cut in the middle, sees the one before.
 func replace(path string, text []byte) error {
-	next := path + ".next" // whoever writes holds the lock
+	tempPath := path + ".next" // whoever writes holds the lock
 	err := func() error {
-		f, err := os.OpenFile(next, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+		f, err := os.OpenFile(tempPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
@@ -163,50 +163,50 @@
 		return errors.Join(err, f.Sync(), f.Close())
 	}()
 	if err == nil {
-		err = os.Rename(next, path)
+		err = os.Rename(tempPath, path)
 	}
 	if err != nil {
-		os.Remove(next)
+		os.Remove(tempPath)
 		return err
 	}
-	folder, err := os.Open(filepath.Dir(path))
+	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
 		return err
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
 
 // locked keeps the other process's writing out for as long as f takes, and says how long that was. Who waits holds the
 // turn, so that whoever has just written can't come again before: two processes write by turns. A build that knows no
 // turns is kept out by the lock.
-func (f *file) locked(do func() error) (took time.Duration, err error) {
-	until := time.Now().Add(turnTime)
-	turn, err := take(f.path+".turn", until)
+func (f *file) withLock(do func() error) (writeTime time.Duration, err error) {
+	deadline := time.Now().Add(lockTimeout)
+	turnLock, err := acquireLock(f.path+".turn", deadline)
 	if err != nil {
 		return 0, err
 	}
-	lock, err := take(f.path+".lock", until)
-	turn.Close()
+	lock, err := acquireLock(f.path+".lock", deadline)
+	turnLock.Close()
 	if err != nil {
 		return 0, err
 	}
 	defer lock.Close() // lets go of the lock
-	began := time.Now()
+	started := time.Now()
 	err = do()
-	return time.Since(began), err
+	return time.Since(started), err
 }
 
-func take(path string, until time.Time) (*os.File, error) {
+func acquireLock(path string, deadline time.Time) (*os.File, error) {
 	lock, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	for ; ; time.Sleep(turnBeat) {
+	for ; ; time.Sleep(lockPollInterval) {
 		err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
 			return lock, nil
 		}
-		if !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR) || time.Now().After(until) {
+		if !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR) || time.Now().After(deadline) {
 			lock.Close()
 			if errors.Is(err, syscall.EWOULDBLOCK) {
 				err = errBusy
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -20,36 +20,36 @@
 )
 
 const (
-	callersMost = 24                     // connections at once; descriptors are set aside for them
-	callTime    = 3 * time.Second        // for a caller to say all
-	forceTime   = 450 * time.Millisecond // for the loop to confirm: an answer is due within 1 s
-	answerTime  = time.Second
-	endpointMax = 200 // bytes of an id
+	maxCallers         = 24                     // connections at once; descriptors are set aside for them
+	callTimeout        = 3 * time.Second        // for a caller to say all
+	confirmTimeout     = 450 * time.Millisecond // for the loop to confirm: an answer is due within 1 s
+	answerTimeout      = time.Second
+	maxEndpointIDBytes = 200 // bytes of an id
 )
 
 // console answers staff.
 type console struct {
-	front *clientServer
-	hands *hands.Hands
-	log   *zap.Logger
-	mu    sync.Mutex
-	calls []*caller // the oldest first
+	server  *clientServer
+	drains  *hands.DrainStore
+	log     *zap.Logger
+	mu      sync.Mutex
+	callers []*caller // the oldest first
 }
 
 // caller is one connection.
 type caller struct {
 	net.Conn
-	console *console
-	heard   bool // its call has come whole
+	console         *console
+	requestComplete bool // its call has come whole
 }
 
 type callerKey struct{}
 
 func (c *caller) Close() error {
 	c.console.mu.Lock()
-	for n, o := range c.console.calls {
-		if o == c {
-			c.console.calls = append(c.console.calls[:n:n], c.console.calls[n+1:]...)
+	for n, other := range c.console.callers {
+		if other == c {
+			c.console.callers = append(c.console.callers[:n:n], c.console.callers[n+1:]...)
 			break
 		}
 	}
@@ -58,106 +58,106 @@
 }
 
 // counter is the listener: the oldest silent caller gives way to a new one.
-type counter struct {
+type callerListener struct {
 	net.Listener
 	console *console
 }
 
-func (l *counter) Accept() (net.Conn, error) {
-	conn, err := acceptUntilClosed(l.Listener, l.console.front.counters, l.console.log)
+func (l *callerListener) Accept() (net.Conn, error) {
+	conn, err := acceptUntilClosed(l.Listener, l.console.server.counters, l.console.log)
 	if err != nil {
 		return nil, err
 	}
-	return l.console.seat(conn), nil
+	return l.console.addCaller(conn), nil
 }
 
-func (s *console) seat(conn net.Conn) *caller {
+func (s *console) addCaller(conn net.Conn) *caller {
 	c := &caller{Conn: conn, console: s}
 	s.mu.Lock()
-	var gone *caller
-	if len(s.calls) >= callersMost {
-		gone = s.calls[0]
-		for _, o := range s.calls {
-			if !o.heard {
-				gone = o
+	var evicted *caller
+	if len(s.callers) >= maxCallers {
+		evicted = s.callers[0]
+		for _, other := range s.callers {
+			if !other.requestComplete {
+				evicted = other
 				break
 			}
 		}
 	}
-	s.calls = append(s.calls, c)
+	s.callers = append(s.callers, c)
 	s.mu.Unlock()
-	if gone != nil {
-		gone.Close()
+	if evicted != nil {
+		evicted.Close()
 	}
 	return c
 }
 
 // httpServer takes one call a connection.
 func (s *console) httpServer() *http.Server {
-	complaints, _ := zap.NewStdLogAt(s.log, zap.DebugLevel) // silent callers are no news
-	web := &http.Server{
-		Handler: s.paths(), ReadTimeout: callTime, WriteTimeout: callTime, MaxHeaderBytes: maxHeadBytes, ErrorLog: complaints,
+	errorLog, _ := zap.NewStdLogAt(s.log, zap.DebugLevel) // silent callers are no news
+	server := &http.Server{
+		Handler: s.routes(), ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeadBytes, ErrorLog: errorLog,
 		DisableGeneralOptionsHandler: true,
 		ConnContext:                  func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, callerKey{}, c) },
 	}
-	web.SetKeepAlivesEnabled(false)
-	return web
+	server.SetKeepAlivesEnabled(false)
+	return server
 }
 
-func (s *console) serve(web *http.Server, ln net.Listener) {
-	if err := web.Serve(&counter{ln, s}); !errors.Is(err, http.ErrServerClosed) {
+func (s *console) serve(server *http.Server, ln net.Listener) {
+	if err := server.Serve(&callerListener{ln, s}); !errors.Is(err, http.ErrServerClosed) {
 		s.log.Error("the console ended", zap.Error(err))
 	}
 }
 
 // paths are matched as written: net/http's own table would send a caller with a double slash elsewhere.
-func (s *console) paths() http.Handler {
+func (s *console) routes() http.Handler {
 	type handler = func(w http.ResponseWriter, r *http.Request)
 	simple := map[string]handler{"/healthcheck": s.health, "/stats": s.stats}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(callerKey{}).(*caller); ok {
 			s.mu.Lock()
-			c.heard = true
+			c.requestComplete = true
 			s.mu.Unlock()
 		}
-		s.front.counters.consoleCalls.Add(1)
+		s.server.counters.consoleCalls.Add(1)
 		closeAfterAnswer(w)
-		method, do := http.MethodGet, simple[r.URL.Path]
-		if rest, ours := strings.CutPrefix(r.URL.Path, "/endpoints/"); ours {
+		method, handle := http.MethodGet, simple[r.URL.Path]
+		if rest, ok := strings.CutPrefix(r.URL.Path, "/endpoints/"); ok {
 			if at := strings.LastIndexByte(rest, '/'); at >= 0 && (rest[at+1:] == "maint" || rest[at+1:] == "ready") {
-				method, do = http.MethodPost, func(w http.ResponseWriter, _ *http.Request) { s.byHand(w, rest[:at], rest[at+1:] == "maint") }
+				method, handle = http.MethodPost, func(w http.ResponseWriter, _ *http.Request) { s.setDrain(w, rest[:at], rest[at+1:] == "maint") }
 			}
 		}
 		switch {
-		case do == nil:
+		case handle == nil:
 			http.Error(w, "no such call", http.StatusNotFound)
 		case r.Method != method:
 			w.Header().Set("Allow", method)
 			http.Error(w, method+" only", http.StatusMethodNotAllowed)
 		default:
-			do(w, r)
+			handle(w, r)
 		}
 	})
 }
 
 // health says yes while this process can serve: its door is open, a list is there, and it is not ending.
 func (s *console) health(w http.ResponseWriter, _ *http.Request) {
-	if !s.front.servesAlone() {
+	if !s.server.servesAlone() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
-	} else if s.front.pair != nil {
-		s.front.pair.assure()
+	} else if s.server.pair != nil {
+		s.server.pair.updateSiblingsNow()
 	}
 }
 
 // byHand takes an endpoint out or puts it back; 200 once that is in force and kept.
-func (s *console) byHand(w http.ResponseWriter, id string, out bool) {
-	if id == "" || len(id) > endpointMax || strings.ContainsFunc(id, func(c rune) bool { return c <= ' ' || c == '/' || c == 0x7f || c == 0xfffd }) {
+func (s *console) setDrain(w http.ResponseWriter, id string, drained bool) {
+	if id == "" || len(id) > maxEndpointIDBytes || strings.ContainsFunc(id, func(c rune) bool { return c <= ' ' || c == '/' || c == 0x7f || c == 0xfffd }) {
 		http.Error(w, "not an id", http.StatusBadRequest)
 		return
 	}
-	within, done := context.WithTimeout(context.Background(), forceTime)
+	ctx, done := context.WithTimeout(context.Background(), confirmTimeout)
 	defer done()
-	switch err := s.hands.Change(within, id, out); {
+	switch err := s.drains.SetDrain(ctx, id, drained); {
 	case errors.Is(err, hands.ErrNeverListed):
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
@@ -167,11 +167,11 @@
 		http.Error(w, "holds in this process only, so far: "+err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	if !s.front.loop.confirmed(within) {
+	if !s.server.loop.waitUntilHandled(ctx) {
 		http.Error(w, "not confirmed in time: call again", http.StatusServiceUnavailable)
 		return
 	}
-	s.log.Info("by hand", zap.String("endpoint", id), zap.Bool("out", out))
+	s.log.Info("by hand", zap.String("endpoint", id), zap.Bool("out", drained))
 }
 
 // stats are the figures in staff's words.
@@ -179,8 +179,8 @@
 	var a fastjson.Arena
 	number := func(n int64) *fastjson.Value { return a.NewNumberInt(int(n)) }
 	all, classes, attempts := a.NewObject(), a.NewObject(), int64(0)
-	for name, n := range s.front.names.Products() {
-		f, class := &s.front.counters.products[n], a.NewObject()
+	for name, n := range s.server.names.Products() {
+		f, class := &s.server.counters.products[n], a.NewObject()
 		class.Set("served", number(f.succeeded.Load()))
 		class.Set("refused", number(f.shed.Load()))
 		class.Set("failed", number(f.failed.Load()))
@@ -190,39 +190,39 @@
 	}
 	all.Set("requests", classes)
 	all.Set("attempts", number(attempts))
-	all.Set("in_flight", number(s.front.activeRequests.Load()))
-	all.Set("endpoints_known", number(s.front.counters.listEndpoints.Load()))
-	all.Set("endpoints_excluded", number(s.front.counters.endpointsAvoided.Load()))
+	all.Set("in_flight", number(s.server.activeRequests.Load()))
+	all.Set("endpoints_known", number(s.server.counters.listEndpoints.Load()))
+	all.Set("endpoints_excluded", number(s.server.counters.endpointsAvoided.Load()))
 	w.Header().Set("Content-Type", "application/json")
 	w.Write(all.MarshalTo(nil))
 }
 
 // confirmed tells whether the loop has come past all that it was told until now.
-func (l *loop) confirmed(within context.Context) bool {
+func (l *loop) waitUntilHandled(ctx context.Context) bool {
 	done := make(chan struct{})
-	l.postUrgent(asked(func(*loop) { close(done) }))
+	l.postUrgent(loopCall(func(*loop) { close(done) }))
 	select {
 	case <-done:
 		return true
-	case <-within.Done():
+	case <-ctx.Done():
 		return false
 	}
 }
 
 // asked is an event that only calls.
-type asked func(l *loop)
+type loopCall func(l *loop)
 
-func (f asked) handle(l *loop) { f(l) }
+func (f loopCall) handle(l *loop) { f(l) }
 
 // said is a call by hand on its way to the module.
-type said struct {
-	id  logic.EndpointID
-	out bool
+type operatorDrainChange struct {
+	id      logic.EndpointID
+	drained bool
 }
 
-func (e said) handle(l *loop) {
-	l.upstream.setOperatorDrain(e.id, e.out)
-	if e.out {
+func (e operatorDrainChange) handle(l *loop) {
+	l.upstream.setOperatorDrain(e.id, e.drained)
+	if e.drained {
 		l.module.Drain(e.id)
 	} else {
 		l.module.Undrain(e.id)
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -19,10 +19,10 @@
 )
 
 // desk is a sidecar's console on loopback.
-func (r *testSidecar) desk() string {
+func (r *testSidecar) startConsole() string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(r, err)
-	s := &console{front: r.front, hands: r.loop.operatorDrains, log: zap.NewNop()}
+	s := &console{server: r.front, drains: r.loop.operatorDrains, log: zap.NewNop()}
 	web := s.httpServer()
 	go s.serve(web, ln)
 	r.Cleanup(func() { web.Close() })
@@ -30,8 +30,8 @@
 }
 
 // call makes one call and returns status and body; 0 is no answer.
-func call(t assert.TestingT, desk, method, path string) (int, string) {
-	c, err := net.Dial("tcp", desk)
+func callConsole(t assert.TestingT, consoleAddr, method, path string) (int, string) {
+	c, err := net.Dial("tcp", consoleAddr)
 	if !assert.NoError(t, err) {
 		return 0, ""
 	}
@@ -46,20 +46,20 @@
 }
 
 // insist calls as staff do who are told to call again: how fast the disk is decides no verdict.
-func insist(t *testing.T, desk, method, path string) (status int, body string) {
+func callUntilSaved(t *testing.T, consoleAddr, method, path string) (status int, body string) {
 	assert.Eventually(t, func() bool {
-		status, body = call(t, desk, method, path)
+		status, body = callConsole(t, consoleAddr, method, path)
 		return status != 503 || !strings.Contains(body, "call again")
 	}, 20*time.Second, time.Millisecond)
 	return status, body
 }
 
-func withConsole(dir string) func(*Start) {
-	return func(s *Start) { s.Console, s.dir = "127.0.0.1:0", dir }
+func withConsole(dir string) func(*Config) {
+	return func(s *Config) { s.Console, s.stateDir = "127.0.0.1:0", dir }
 }
 
-func stats(t *testing.T, desk string) *fastjson.Value {
-	status, body := call(t, desk, "GET", "/stats")
+func consoleStats(t *testing.T, consoleAddr string) *fastjson.Value {
+	status, body := callConsole(t, consoleAddr, "GET", "/stats")
 	require.Equal(t, 200, status)
 	v, err := fastjson.Parse(body)
 	require.NoError(t, err, body)
@@ -68,7 +68,7 @@
 
 func TestConsoleCalls(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(t.TempDir()))
-	desk := r.desk()
+	consoleAddr := r.startConsole()
 	assert.Eventually(t, r.front.servesAlone, 5*time.Second, time.Millisecond)
 	for _, c := range []struct {
 		method, path string
@@ -80,27 +80,27 @@
 		{"POST", "/endpoints/%20/maint", 400}, {"POST", "/endpoints/" + strings.Repeat("x", 300) + "/maint", 400},
 		{"POST", "/endpoints/s0/maint", 200}, {"POST", "/endpoints/s0/maint", 200}, {"POST", "/endpoints/s0/ready", 200},
 	} {
-		status, body := insist(t, desk, c.method, c.path)
+		status, body := callUntilSaved(t, consoleAddr, c.method, c.path)
 		assert.Equal(t, c.status, status, "%s %s: %s", c.method, c.path, body)
 	}
 	end := time.Now()
 	r.front.shutdownBy.Store(&end)
-	status, _ := call(t, desk, "GET", "/healthcheck")
+	status, _ := callConsole(t, consoleAddr, "GET", "/healthcheck")
 	assert.Equal(t, 503, status, "nobody should be sent to a process that ends")
 }
 
 func TestHealthWithoutAList(t *testing.T) {
 	r := startSidecar(t, "null", withConsole(""))
-	status, _ := call(t, r.desk(), "GET", "/healthcheck")
+	status, _ := callConsole(t, r.startConsole(), "GET", "/healthcheck")
 	assert.Equal(t, 503, status)
 }
 
 // Silent callers and half calls, many at once, delay nobody: the oldest gives way.
-func TestSilentCrowdAtTheConsole(t *testing.T) {
+func TestSilentConsoleConnectionsDelayNoCall(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
-	desk := r.desk()
-	for n := range 4 * callersMost {
-		c, err := net.Dial("tcp", desk)
+	consoleAddr := r.startConsole()
+	for n := range 4 * maxCallers {
+		c, err := net.Dial("tcp", consoleAddr)
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
 		c.Write([]byte("POST /endpoints/s0/maint HTTP/1.1\r\nHost"[:n%40]))
@@ -109,7 +109,7 @@
 	for range 8 {
 		all.Go(func() {
 			began := time.Now()
-			status, _ := call(t, desk, "GET", "/stats")
+			status, _ := callConsole(t, consoleAddr, "GET", "/stats")
 			assert.Equal(t, 200, status)
 			assert.Less(t, time.Since(began), time.Second)
 		})
@@ -118,8 +118,8 @@
 }
 
 // Each way out counts once, under its class, and what is no request of ours spoils no class's figures.
-func TestFiguresAgreeWithTheStandIns(t *testing.T) {
-	free, open := make(chan bool), make(chan bool, 1)
+func TestStatsAgreeWithTheStubEndpoint(t *testing.T) {
+	release, open := make(chan bool), make(chan bool, 1)
 	s := newStubEndpoint(t, func(c net.Conn, q *http.Request) bool {
 		switch q.URL.Path {
 		case "/buy/bad":
@@ -128,12 +128,12 @@
 			return respondWith("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true)(c, q)
 		case "/buy/slow":
 			open <- true
-			<-free
+			<-release
 		}
 		return respondWith(okResponse, true)(c, q)
 	})
 	r := startSidecar(t, listOf(s), withConsole(""))
-	desk, none := r.desk(), "Content-Length: 0\r\n"
+	consoleAddr, none := r.startConsole(), "Content-Length: 0\r\n"
 	for n := range 7 {
 		assert.Equal(t, 200, r.status(requestText(fmt.Sprint("look", n), "GET", "look", "")))
 	}
@@ -148,13 +148,13 @@
 	slow := r.dial()
 	slow.Write([]byte(requestText("slow", "POST", "buy/slow", none)))
 	<-open
-	v := stats(t, desk)
+	v := consoleStats(t, consoleAddr)
 	assert.Equal(t, 1, v.GetInt("in_flight"))
 	assert.Equal(t, 1, v.GetInt("endpoints_known"))
-	close(free)
+	close(release)
 	exchangeOn(slow, "")
 	of := func(class, name string) func() int {
-		return func() int { return stats(t, desk).GetInt("requests", class, name) }
+		return func() int { return consoleStats(t, consoleAddr).GetInt("requests", class, name) }
 	}
 	for _, c := range []struct {
 		of   func() int
@@ -162,39 +162,39 @@
 	}{
 		{of("look", "served"), 8}, {of("look", "refused"), 1}, {of("look", "failed"), 0}, {of("look", "attempts"), 8},
 		{of("buy", "served"), 1}, {of("buy", "refused"), 1}, {of("buy", "failed"), 1}, {of("save", "served"), 0},
-		{func() int { return stats(t, desk).GetInt("in_flight") }, 0},
-		{func() int { return stats(t, desk).GetInt("attempts") }, int(s.requests.Load())},
+		{func() int { return consoleStats(t, consoleAddr).GetInt("in_flight") }, 0},
+		{func() int { return consoleStats(t, consoleAddr).GetInt("attempts") }, int(s.requests.Load())},
 	} {
 		assert.Eventually(t, func() bool { return c.of() == c.want }, 5*time.Second, time.Millisecond)
 		assert.Equal(t, c.want, c.of())
 	}
-	assert.NotNil(t, stats(t, desk).Get("requests", "save"), "every class from the start")
+	assert.NotNil(t, consoleStats(t, consoleAddr).Get("requests", "save"), "every class from the start")
 }
 
 // Out by hand: a leg that still dials sends nothing, the only endpoint's loss is told at once, and a list changes nothing.
-func TestOutByHand(t *testing.T) {
+func TestOperatorDrain(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s), withConsole(t.TempDir()))
-	desk := r.desk()
-	say := func(what string) {
-		status, body := insist(t, desk, "POST", "/endpoints/s0/"+what)
+	consoleAddr := r.startConsole()
+	setDrain := func(what string) {
+		status, body := callUntilSaved(t, consoleAddr, "POST", "/endpoints/s0/"+what)
 		require.Equal(t, 200, status, body)
 	}
 	assert.Equal(t, 200, r.status(requestText("before", "GET", "look", "")))
-	plain, began := r.loop.upstream.dial, make(chan bool)
-	say("maint")
-	assert.Equal(t, 1, stats(t, desk).GetInt("endpoints_excluded"), "the figures know it when the yes is out")
+	dial, dialling := r.loop.upstream.dial, make(chan bool)
+	setDrain("maint")
+	assert.Equal(t, 1, consoleStats(t, consoleAddr).GetInt("endpoints_excluded"), "the figures know it when the yes is out")
 	assert.False(t, r.loop.upstream.closeOneIdle(), "idle connections are closed")
-	began2 := time.Now()
+	started := time.Now()
 	assert.Equal(t, 503, r.status(requestText("nowhere", "GET", "look", "")))
-	assert.Less(t, time.Since(began2), 500*time.Millisecond, "at once")
+	assert.Less(t, time.Since(started), 500*time.Millisecond, "at once")
 	whole := endpointList{version: 2, full: true, servers: []listEntry{{id: "s0", addr: s.Addr().String(), running: true}}}
 	for _, i := range []endpointList{{version: 1, full: true}, whole} {
 		r.loop.post(listReceived{endpointList: i, fromDisk: true})
 		assert.Equal(t, 503, r.status(requestText(fmt.Sprint("listed", i.version), "GET", "look", "")))
 	}
-	assert.Eventually(t, func() bool { return stats(t, desk).GetInt("endpoints_excluded") == 1 }, 5*time.Second, time.Millisecond)
-	say("ready")
+	assert.Eventually(t, func() bool { return consoleStats(t, consoleAddr).GetInt("endpoints_excluded") == 1 }, 5*time.Second, time.Millisecond)
+	setDrain("ready")
 	assert.Equal(t, 200, r.status(requestText("back", "GET", "look", "")))
 	r.loop.upstream.closeOneIdle()
 	r.loop.upstream.dial = nil
@@ -202,16 +202,16 @@
 	r.loop.post(loopFunc(func(*loop) { close(done) }))
 	<-done
 	r.loop.upstream.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		began <- true
-		<-began
-		return plain(ctx, network, addr)
+		dialling <- true
+		<-dialling
+		return dial(ctx, network, addr)
 	}
 	before := s.requests.Load()
 	c := r.dial()
 	c.Write([]byte(requestText("dials", "POST", "buy", "Content-Length: 0\r\n")))
-	<-began
-	say("maint")
-	began <- true
+	<-dialling
+	setDrain("maint")
+	dialling <- true
 	got, _ := exchangeOn(c, "")
 	require.NotNil(t, got)
 	assert.Equal(t, 503, got.StatusCode, "it never ran")
@@ -219,32 +219,32 @@
 }
 
 // A ban that can't be kept holds, and is not said yes to.
-func TestFullDisk(t *testing.T) {
+func TestUnsavedOperatorDrainIsInForceAndNotConfirmed(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "not there")
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(dir))
-	desk := r.desk()
+	consoleAddr := r.startConsole()
 	// an endpoint that is not known yet is answered 404, rightly
-	require.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.loop.confirmed(t.Context()) }, 5*time.Second, time.Millisecond)
-	status, _ := call(t, desk, "POST", "/endpoints/s0/maint")
+	require.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.loop.waitUntilHandled(t.Context()) }, 5*time.Second, time.Millisecond)
+	status, _ := callConsole(t, consoleAddr, "POST", "/endpoints/s0/maint")
 	assert.Equal(t, 503, status)
 	assert.Equal(t, 503, r.status(requestText("1", "GET", "look", "")), "it is in force all the same")
 }
 
 // A loop that stands still must not keep staff waiting, nor let the console say yes.
-func TestLoopStandsStill(t *testing.T) {
+func TestStalledLoopDoesNotDelayTheConsole(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(t.TempDir()))
-	desk, free, held := r.desk(), make(chan bool), make(chan bool)
-	r.loop.post(loopFunc(func(*loop) { held <- true; <-free }))
+	consoleAddr, release, held := r.startConsole(), make(chan bool), make(chan bool)
+	r.loop.post(loopFunc(func(*loop) { held <- true; <-release }))
 	<-held
 	began := time.Now()
-	status, _ := call(t, desk, "POST", "/endpoints/s0/maint")
+	status, _ := callConsole(t, consoleAddr, "POST", "/endpoints/s0/maint")
 	assert.Equal(t, 503, status)
-	status, _ = call(t, desk, "GET", "/stats")
+	status, _ = callConsole(t, consoleAddr, "GET", "/stats")
 	assert.Equal(t, 200, status)
 	assert.Less(t, time.Since(began), time.Second)
 	assert.True(t, r.loop.upstream.find("s0").unavailable.Load(), "nothing new is written to it all the same")
-	close(free)
-	assert.Eventually(t, func() bool { return r.loop.confirmed(t.Context()) }, 5*time.Second, time.Millisecond)
+	close(release)
+	assert.Eventually(t, func() bool { return r.loop.waitUntilHandled(t.Context()) }, 5*time.Second, time.Millisecond)
 	assert.Equal(t, 503, r.status(requestText("1", "GET", "look", "")))
 }
 
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -85,7 +85,7 @@
 				t.Run(fmt.Sprint(c.name, how, mayCancel), func(t *testing.T) {
 					t.Parallel()
 					s := newStubEndpoint(t, respondWith(okResponse, true))
-					r := startSidecar(t, listOf(s), func(s *Start) { s.terms.MayCancel = mayCancel })
+					r := startSidecar(t, listOf(s), func(s *Config) { s.terms.MayCancel = mayCancel })
 					dialled, resume := r.holdDial(1)
 					conn := r.dial()
 					conn.Write([]byte(c.request + c.behind))
@@ -121,7 +121,7 @@
 			t.Run(fmt.Sprint(c.name, how), func(t *testing.T) {
 				t.Parallel()
 				s := newStubEndpoint(t, respondWith(okResponse, true))
-				r := startSidecar(t, listOf(s), func(s *Start) { s.MemoryMB = 1 }) // what is longer than 64 KiB flows
+				r := startSidecar(t, listOf(s), func(s *Config) { s.MemoryMB = 1 }) // what is longer than 64 KiB flows
 				dialled, resume := r.holdDial(1)
 				conn := r.dial().(*net.TCPConn)
 				conn.SetWriteBuffer(1 << 20)
@@ -151,7 +151,7 @@
 }
 
 // patient gives all clients a minute: what happens in these tests waits for no clock.
-func withLongTimeouts(s *Start) {
+func withLongTimeouts(s *Config) {
 	for n := range s.terms.Products {
 		s.terms.Products[n].Abandon, s.terms.Products[n].Expected = 60000, 50000
 	}
@@ -187,7 +187,7 @@
 			t.Run(fmt.Sprint(c.name, mayCancel), func(t *testing.T) {
 				t.Parallel()
 				s := newStubEndpoint(t, c.first)
-				r := startSidecar(t, listOf(s, s, s, s), func(s *Start) { s.terms.MayCancel = mayCancel })
+				r := startSidecar(t, listOf(s, s, s, s), func(s *Config) { s.terms.MayCancel = mayCancel })
 				dialled, resume := r.holdDial(2)
 				conn := r.dial()
 				conn.Write([]byte(requestText("1", "GET", "look", "")))
@@ -240,7 +240,7 @@
 			c.Write([]byte(okResponse))
 			return false
 		})
-		r := startSidecar(t, listOf(s, s), func(s *Start) { s.terms.MayCancel = mayCancel })
+		r := startSidecar(t, listOf(s, s), func(s *Config) { s.terms.MayCancel = mayCancel })
 		dialled, resume := r.holdDial(2)
 		conn := r.dial()
 		conn.Write([]byte(requestText("1", "GET", "look", "")))
@@ -261,7 +261,7 @@
 func TestIdempotencyKeyExpiresWhileARetryDials(t *testing.T) {
 	const remember = 150
 	s := newStubEndpoint(t, respondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false))
-	r := startSidecar(t, listOf(s, s, s, s), func(s *Start) { s.terms.Products[2].DedupMemory = remember })
+	r := startSidecar(t, listOf(s, s, s, s), func(s *Config) { s.terms.Products[2].DedupMemory = remember })
 	dialled, resume := r.holdDial(2)
 	conn, began := r.dial(), time.Now()
 	conn.Write([]byte(requestText("1", "POST", "save", "Idempotency-Key: k\r\nContent-Length: 0\r\n")))
@@ -283,7 +283,7 @@
 		c.Write([]byte(chunk(listText(2, false, entryText("s0", a.Addr().String(), "terminating")))))
 		return neverAnswer(c, q)
 	})
-	r := startSidecar(t, listOf(a, b), func(s *Start) { s.Discovery = d.Addr().String() })
+	r := startSidecar(t, listOf(a, b), func(s *Config) { s.Discovery = d.Addr().String() })
 	eventually(t, "the list", func() bool { return r.loop.watchHeard.Load() })
 	resume := r.stopLoop()
 	conns := []net.Conn{}
@@ -341,7 +341,7 @@
 		}
 		return neverAnswer(c, q)
 	})
-	r := startSidecar(t, "null", func(start *Start) { start.Discovery = d.Addr().String() })
+	r := startSidecar(t, "null", func(start *Config) { start.Discovery = d.Addr().String() })
 	eventually(t, "the list", func() bool { return r.loop.watchHeard.Load() })
 	assert.Equal(t, 200, r.status(requestText("1", "GET", "look", "")))
 	assert.EqualValues(t, 1, d.requests.Load(), "asked once")
@@ -354,7 +354,7 @@
 		return neverAnswer(c, q)
 	})
 	began := time.Now()
-	startSidecar(t, "null", func(start *Start) { start.Discovery, start.silence = d.Addr().String(), time.Hour })
+	startSidecar(t, "null", func(start *Config) { start.Discovery, start.watchSilence = d.Addr().String(), time.Hour })
 	eventually(t, "asked again", func() bool { return d.requests.Load() >= 2 })
 	assert.GreaterOrEqual(t, time.Since(began), partialLineTimeout)
 }
@@ -385,7 +385,7 @@
 			conn.Write([]byte(chunk(c.after)))
 			return neverAnswer(conn, q)
 		})
-		r := startSidecar(t, "null", func(s *Start) { s.Discovery = d.Addr().String() })
+		r := startSidecar(t, "null", func(s *Config) { s.Discovery = d.Addr().String() })
 		eventually(t, c.name, func() bool { return r.front.counters.lists.Load() == 1 })
 		close(notify)
 		eventually(t, c.name, func() bool { return r.front.counters.lists.Load() == 2 })
@@ -441,7 +441,7 @@
 				conn.Write([]byte(watchHead + chunk(c.next)))
 				return neverAnswer(conn, q)
 			})
-			r := startSidecar(t, "null", func(s *Start) { s.Discovery = first.Addr().String() })
+			r := startSidecar(t, "null", func(s *Config) { s.Discovery = first.Addr().String() })
 			eventually(t, "the first list", func() bool { return r.front.counters.lists.Load() == 1 })
 			if c.moves {
 				r.loop.post(discoveryChanged{second.Addr().String()})
@@ -478,7 +478,7 @@
 		}
 		return neverAnswer(c, q)
 	})
-	r := startSidecar(t, "null", func(start *Start) { start.Discovery = d.Addr().String() })
+	r := startSidecar(t, "null", func(start *Config) { start.Discovery = d.Addr().String() })
 	for _, asked := range []string{"", "&after=5", ""} {
 		assert.Equal(t, "/discovery/hosts?watch=1"+asked, (<-d.received).RequestURI)
 	}
@@ -493,7 +493,7 @@
 		c.Write([]byte(watchHead + chunk(listOf(s))))
 		return neverAnswer(c, q)
 	})
-	r := startSidecar(t, "null", func(start *Start) { start.Discovery = d.Addr().String() })
+	r := startSidecar(t, "null", func(start *Config) { start.Discovery = d.Addr().String() })
 	eventually(t, "the list", func() bool { return r.loop.watchHeard.Load() })
 	<-d.received
 	r.loop.post(loopFunc(func(l *loop) {
@@ -604,7 +604,7 @@
 	select {
 	case err := <-r.ended:
 		t.Fatal("ended over half a request: ", err)
-	case <-time.After(quietLast * 3):
+	case <-time.After(acceptQuietPeriod * 3):
 	}
 	got, body := exchangeOn(c, text[30:]+"ab")
 	require.NotNil(t, got, body)
@@ -620,7 +620,7 @@
 		t.Run(fmt.Sprint(abandon), func(t *testing.T) {
 			t.Parallel()
 			s := newStubEndpoint(t, neverAnswer)
-			r := startSidecar(t, listOf(s), func(s *Start) {
+			r := startSidecar(t, listOf(s), func(s *Config) {
 				for n := range s.terms.Products {
 					s.terms.Products[n].Abandon, s.terms.Products[n].Expected = abandon, 8000
 				}
@@ -633,8 +633,8 @@
 			got, body := exchangeOn(c, "")
 			require.NotNil(t, got, body)
 			assert.Equal(t, 504, got.StatusCode)
-			assert.Less(t, time.Since(began), endLongest+endMargin, "SIGKILL comes 0.7 s after the longest")
-			assert.Greater(t, time.Since(began), endLongest/2, "and no sooner: there was time")
+			assert.Less(t, time.Since(began), maxShutdownAbandon+shutdownMargin, "SIGKILL comes 0.7 s after the longest")
+			assert.Greater(t, time.Since(began), maxShutdownAbandon/2, "and no sooner: there was time")
 			assert.NoError(t, <-r.ended)
 			r.ended <- nil
 		})
@@ -651,7 +651,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	assert.NoError(t, s.Serve(ctx, zap.NewNop(), nil, nil))
-	_, err = (&Start{}).listen(t.Context(), "256.0.0.1:1")
+	_, err = (&Config{}).listen(t.Context(), "256.0.0.1:1")
 	assert.Error(t, err, "any other fault is one")
 	assert.NotErrorIs(t, err, syscall.EADDRINUSE)
 }
@@ -717,7 +717,7 @@
 			}
 			start, err := Decode([]byte(strings.NewReplacer("%KNOWN%", listOf(s, s), "%SOCKETS%", "1024").Replace(text)))
 			require.NoError(t, err)
-			r := startSidecar(t, listOf(s, s), func(s *Start) { *s = *start })
+			r := startSidecar(t, listOf(s, s), func(s *Config) { *s = *start })
 			conn := r.dial()
 			for n := range 80 {
 				got, body := r.exchangeWithRetry(conn, requestText(fmt.Sprint(n), "GET", "look", "Tenant: a\r\n"))
@@ -895,7 +895,7 @@
 }
 
 // bound has buy go to machines of kind k in zone a only.
-func withBoundBuy(s *Start) {
+func withBoundBuy(s *Config) {
 	s.terms.Products[1].RunsIn = []logic.ZoneID{s.names.Zone([]byte("a"))}
 	s.terms.Products[1].AllowedOn = []logic.KindID{s.names.Kind([]byte("k"))}
 }
@@ -906,7 +906,7 @@
 	right, other, wrong := newStubEndpoint(t, respondWith(okResponse, true)), newStubEndpoint(t, respondWith(okResponse, true)), newStubEndpoint(t, respondWith(okResponse, true))
 	rightAddr, otherAddr, wrongAddr := right.Addr().String(), other.Addr().String(), wrong.Addr().String()
 	notify, d := newScriptedDiscovery(t)
-	r := startSidecar(t, "null", func(s *Start) {
+	r := startSidecar(t, "null", func(s *Config) {
 		s.Discovery = d.Addr().String()
 		withBoundBuy(s)
 	})
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -71,8 +71,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			d := newStubEndpoint(t, c.script)
-			r := startSidecar(t, listOf(s), func(start *Start) {
-				start.Discovery, start.silence = d.Addr().String(), 100*time.Millisecond
+			r := startSidecar(t, listOf(s), func(start *Config) {
+				start.Discovery, start.watchSilence = d.Addr().String(), 100*time.Millisecond
 			})
 			assert.Eventually(t, func() bool { return d.requests.Load() >= 3 }, 10*time.Second, time.Millisecond)
 			first := <-d.received
@@ -92,8 +92,8 @@
 		return neverAnswer(c, r)
 	})
 	began := time.Now()
-	r := startSidecar(t, listOf(s), func(start *Start) {
-		start.Discovery, start.silence = d.Addr().String(), time.Hour
+	r := startSidecar(t, listOf(s), func(start *Config) {
+		start.Discovery, start.watchSilence = d.Addr().String(), time.Hour
 	})
 	assert.Eventually(t, func() bool { return d.requests.Load() >= 2 }, 5*time.Second, time.Millisecond)
 	assert.GreaterOrEqual(t, time.Since(began), partialLineTimeout)
@@ -150,7 +150,7 @@
 					return neverAnswer(conn, nil)
 				}
 			})
-			r := startSidecar(t, listOf(s), func(start *Start) {
+			r := startSidecar(t, listOf(s), func(start *Config) {
 				start.Discovery, start.terms.Fleet, start.terms.AskWithin = d.Addr().String(), 300, 60000
 				start.terms.HasList = false // so that the first call is made at once
 			})
@@ -173,7 +173,7 @@
 	a, b := newStubEndpoint(t, respondWith(okResponse, true)), newStubEndpoint(t, respondWith(okResponse, true))
 	at, bt := a.Addr().String(), b.Addr().String()
 	lines, d := newScriptedDiscovery(t)
-	r := startSidecar(t, listOf(a), func(s *Start) { s.Discovery = d.Addr().String() })
+	r := startSidecar(t, listOf(a), func(s *Config) { s.Discovery = d.Addr().String() })
 	for n, c := range []struct {
 		name, line string
 		to         *stubEndpoint
@@ -230,20 +230,20 @@
 	d := [2]*stubEndpoint{scripted(lines[0], ended[0]), scripted(lines[1], ended[1])}
 	defer close(lines[0])
 	defer close(lines[1])
-	var start *Start
-	r := startSidecar(t, listOf(a), func(s *Start) { start, s.Discovery = s, d[0].Addr().String() })
+	var start *Config
+	r := startSidecar(t, listOf(a), func(s *Config) { start, s.Discovery = s, d[0].Addr().String() })
 	c := r.front.counters
 	update := func(n int, line string) {
 		before := c.lists.Load()
 		lines[n] <- line
 		assert.Eventually(t, func() bool { return c.lists.Load() > before }, 5*time.Second, time.Millisecond, line)
 	}
-	signals, files := make(chan os.Signal), make(chan func() (*Start, error), 1)
+	signals, files := make(chan os.Signal), make(chan func() (*Config, error), 1)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	go start.follow(ctx, r.front, signals, func() (*Start, error) { return (<-files)() })
+	go start.followReloads(ctx, r.front, signals, func() (*Config, error) { return (<-files)() })
 	reload := func(discovery string, err error) {
-		files <- func() (*Start, error) { return &Start{Discovery: discovery, Listen: start.Listen}, err }
+		files <- func() (*Config, error) { return &Config{Discovery: discovery, Listen: start.Listen}, err }
 		signals <- syscall.SIGHUP
 	}
 	assert.Equal(t, "/discovery/hosts?watch=1&after=1", (<-d[0].received).RequestURI)
@@ -279,16 +279,16 @@
 		return neverAnswer(c, q)
 	})
 	for _, fault := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EIO, syscall.ENOENT, syscall.EINTR, syscall.ENOMEM, syscall.ESTALE} {
-		var start *Start
-		r := startSidecar(t, listOf(s), func(s *Start) { start = s })
+		var start *Config
+		r := startSidecar(t, listOf(s), func(s *Config) { start = s })
 		reads := atomic.Int64{}
 		signals := make(chan os.Signal, 1)
 		ctx, end := context.WithCancel(context.Background())
-		go start.follow(ctx, r.front, signals, func() (*Start, error) {
+		go start.followReloads(ctx, r.front, signals, func() (*Config, error) {
 			if reads.Add(1) <= 3 {
 				return nil, &os.PathError{Op: "open", Path: "start.json", Err: fault}
 			}
-			return &Start{Discovery: d.Addr().String(), Listen: start.Listen}, nil
+			return &Config{Discovery: d.Addr().String(), Listen: start.Listen}, nil
 		})
 		signals <- syscall.SIGHUP
 		eventually(t, fault.Error(), func() bool { return r.front.counters.listVersion.Load() == 7 })
@@ -416,7 +416,7 @@
 		return entries
 	}
 	lines, d := newScriptedDiscovery(t)
-	r := startSidecar(t, "null", func(start *Start) { start.Discovery, start.terms.Fleet = d.Addr().String(), 1024 })
+	r := startSidecar(t, "null", func(start *Config) { start.Discovery, start.terms.Fleet = d.Addr().String(), 1024 })
 	for n, c := range []struct {
 		name, line string
 		listed     int64
--- a/internal/sidecar/lease_calls_test.go
+++ b/internal/sidecar/lease_calls_test.go
@@ -37,7 +37,7 @@
 	s := &steppedLoop{loop: l, from: l.now}
 	list := endpointList{version: 7, full: true, servers: []listEntry{{id: "s0", addr: "127.0.0.1:2", running: true}}}
 	if takesOver {
-		siblingTold{knowledge{endpointList: list, discovery: l.list.addr, following: true}}.handle(l)
+		siblingUpdate{sharedState{endpointList: list, discovery: l.list.addr, following: true}}.handle(l)
 	} else {
 		listReceived{endpointList: list, call: l.list.lastCall}.handle(l)
 	}
@@ -85,7 +85,7 @@
 	s := newSteppedLoop(true)
 	s.advanceTo(300)
 	discoveryCallAccepted{call: s.list.lastCall}.handle(s.loop)
-	for after := logic.Millis(400); after <= toMillis(heardWait+notifiedAfterEnded+leaseGrace+leaseSlack); after += 50 {
+	for after := logic.Millis(400); after <= toMillis(maxOwnWatchWait+notifiedAfterEnded+leaseGrace+leaseSlack); after += 50 {
 		s.advanceTo(after)
 	}
 	assert.True(t, s.module.Suspended())
--- a/internal/sidecar/lease_test.go
+++ b/internal/sidecar/lease_test.go
@@ -48,7 +48,7 @@
 		call(l, l.calls.Add(1), c)
 		return false
 	})
-	l.testSidecar = startSidecar(t, listOf(l.endpoint), func(s *Start) {
+	l.testSidecar = startSidecar(t, listOf(l.endpoint), func(s *Config) {
 		s.Discovery, s.terms.DrainGrace, s.terms.HasList = l.discovery.Addr().String(), toMillis(leaseGrace), false
 	})
 	return l
--- a/internal/sidecar/list_events.go
+++ b/internal/sidecar/list_events.go
@@ -124,7 +124,7 @@
 		l.upstream.applyListed(id, entry.addr, health == logic.Running)
 		l.upstream.setLocality(id, entry.zone, entry.kind)
 		l.list.recordEntry(id, entry)
-		l.operatorDrains.Listed(entry.id)
+		l.operatorDrains.RecordListed(entry.id)
 	}
 	l.module.Listed(id, health, l.list.names.Zone([]byte(entry.zone)), l.list.names.Kind([]byte(entry.kind)), entry.cell, entry.weight, entry.started)
 	return drained
@@ -139,7 +139,7 @@
 	if !e.fromDisk && e.call != fromSibling {
 		l.watchHeard.Store(true)
 	}
-	l.changed()
+	l.notifySiblings()
 }
 
 func (e discoveryCallAccepted) handle(l *loop) {
@@ -217,7 +217,7 @@
 func (e discoveryChanged) handle(l *loop) {
 	l.list.reloadedAt = clock.Monotonic()
 	l.list.configuredAt = l.list.reloadedAt
-	defer l.changed()
+	defer l.notifySiblings()
 	if l.list.switchTo(e.addr) {
 		l.list.outage.begin(time.Now())
 		l.list.outage.addrChanged = true
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -140,7 +140,7 @@
 	suspended      atomic.Bool // the lease on the list has ended: no attempt begins
 	upstream       *upstream
 	list           *discoveryClient
-	operatorDrains *hands.Hands
+	operatorDrains *hands.DrainStore
 	messages       messenger // nil for none
 	products       []logic.Product
 	urgent         struct {
@@ -160,7 +160,7 @@
 }
 
 // newLoop starts the module, which may ask for timers and the watch at once; the disk's list comes before all else.
-func newLoop(ctx context.Context, terms logic.Terms, known *endpointList, up *upstream, list *discoveryClient, drains *hands.Hands,
+func newLoop(ctx context.Context, terms logic.Terms, known *endpointList, up *upstream, list *discoveryClient, drains *hands.DrainStore,
 	counters *Counters, log *zap.Logger) *loop {
 	l := &loop{
 		queue: make(chan event, 4096), started: time.Now(), exchanges: map[logic.ExchangeID]*exchange{},
@@ -174,15 +174,15 @@
 		l.queue <- listReceived{endpointList: *known, fromDisk: true}
 	}
 	l.module = logic.New(terms, l, l.now)
-	for _, id := range drains.Bans() {
-		said{logic.EndpointID(id), true}.handle(l)
+	for _, id := range drains.Drained() {
+		operatorDrainChange{logic.EndpointID(id), true}.handle(l)
 	}
-	drains.Tell = func(id string, out bool) {
+	drains.OnChange = func(id string, out bool) {
 		if out {
 			up.setOperatorDrain(logic.EndpointID(id), true) // at once, whatever waits before it in the queue
 		}
-		l.postUrgent(said{logic.EndpointID(id), out})
-		l.changed()
+		l.postUrgent(operatorDrainChange{logic.EndpointID(id), out})
+		l.notifySiblings()
 	}
 	return l
 }
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -37,7 +37,7 @@
 
 // readDeployment reads which kind of deployment the configuration describes: a sidecar for each client, or a pool. A
 // mixture is rejected, with the key that does not fit.
-func (s *Start) readDeployment(v, settings *fastjson.Value) error {
+func (s *Config) readDeployment(v, settings *fastjson.Value) error {
 	if err := terms.Check(settings); err != nil {
 		return err
 	}
@@ -50,25 +50,25 @@
 		s.Peers = append(s.Peers, addr)
 	}
 	fleet := settings.GetInt("fleet-size")
-	switch s.pushed, s.streams = terms.Pushed(settings), terms.Streams(settings); {
+	switch s.listPushed, s.streamsPerConn = terms.Pushed(settings), terms.Streams(settings); {
 	case len(peers) > 0 && !terms.Pools(settings):
 		return errors.New("peers: settings.allowed.peers does not allow messages")
 	case terms.Pools(settings) && len(peers) != fleet:
 		return fmt.Errorf("peers: %d addresses, but settings.fleet-size is %d", len(peers), fleet)
-	case s.streams > 1 && !terms.Pools(settings):
-		return fmt.Errorf("settings.allowed.multiplex: %d exchanges on a connection are allowed in pools only", s.streams)
+	case s.streamsPerConn > 1 && !terms.Pools(settings):
+		return fmt.Errorf("settings.allowed.multiplex: %d exchanges on a connection are allowed in pools only", s.streamsPerConn)
 	}
 	return nil
 }
 
 // unsupported returns an error that names the first key which requires a part that this build does not have.
-func (s *Start) unsupported() error {
+func (s *Config) unsupported() error {
 	switch {
-	case s.terms.Peers && s.messages == nil:
+	case s.terms.Peers && s.messenger == nil:
 		return errors.New("settings.allowed.peers: messages between sidecars are not implemented in this build")
-	case s.pushed && s.lists == nil && s.Discovery == "":
+	case s.listPushed && s.pusher == nil && s.Discovery == "":
 		return errors.New("discovery: settings.registry-mode is pushed, but no agent is named whose watch could be followed")
-	case s.streams > 1:
+	case s.streamsPerConn > 1:
 		return errors.New("settings.allowed.multiplex: several exchanges on one connection are not implemented in this build")
 	}
 	return nil
@@ -78,7 +78,7 @@
 // like discovery's. The sidecar counts as notified of whatever the agent has, from the start of the process and whether
 // or not a watch is open. So the agent is called at once, and again before a request could be sent to a draining
 // endpoint. The agent serves only this sidecar, so the calls need not be spread in time.
-func (s *Start) useAgentTerms(drainGrace logic.Millis) {
+func (s *Config) useAgentTerms(drainGrace logic.Millis) {
 	s.terms.PullList, s.terms.HasList, s.terms.SoleCaller = true, false, true
 	s.terms.AskWithin = max(drainGrace, defaultAgentGraceMs) * agentAskShare
 }
@@ -92,12 +92,12 @@
 )
 
 // startPool starts the parts that the deployment has.
-func (s *Start) startPool(ctx context.Context, l *loop) {
-	if l.messages = s.messages; l.messages != nil {
+func (s *Config) startPool(ctx context.Context, l *loop) {
+	if l.messages = s.messenger; l.messages != nil {
 		go l.messages.receive(ctx, l.receiveMessage)
 	}
-	if s.lists != nil {
-		go s.lists.follow(ctx, func(i endpointList) { l.post(listReceived{endpointList: i}) })
+	if s.pusher != nil {
+		go s.pusher.follow(ctx, func(i endpointList) { l.post(listReceived{endpointList: i}) })
 	}
 }
 
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -121,10 +121,10 @@
 	for n := range pool {
 		here, there := net.Pipe()
 		pushConns[n] = here
-		pool[n] = startSidecar(t, "null", func(s *Start) {
+		pool[n] = startSidecar(t, "null", func(s *Config) {
 			s.terms.Peers, s.terms.Fleet, s.terms.SidecarNumber, s.terms.PullList = true, 2, logic.PeerID(n), false
-			s.messages = &udpMessenger{conns[n], logic.PeerID(n), addrs}
-			s.lists = linePusher{there}
+			s.messenger = &udpMessenger{conns[n], logic.PeerID(n), addrs}
+			s.pusher = linePusher{there}
 		})
 		t.Cleanup(func() { here.Close() })
 	}
@@ -173,7 +173,7 @@
 	require.NoError(t, err)
 	require.NoError(t, s.unsupported())
 	assert.Less(t, float64(s.terms.AskWithin), 300.0, "the agent is called again within the drain grace")
-	r := startSidecar(t, listOf(a), func(t *Start) { t.Discovery, t.terms, t.names, t.pushed = s.Discovery, s.terms, s.names, true })
+	r := startSidecar(t, listOf(a), func(t *Config) { t.Discovery, t.terms, t.names, t.listPushed = s.Discovery, s.terms, s.names, true })
 	<-agent.received
 	requireEventually(t, "the agent's list", func() bool { return r.loop.watchHeard.Load() })
 	for n := range 4 {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -36,7 +36,7 @@
 	counters             *Counters
 	log                  *zap.Logger
 	listener             atomic.Pointer[clientListener]
-	pair                 *pair                     // nil where no other process may come
+	pair                 *processGroup             // nil where no other process may come
 	accepting            atomic.Bool               // the door takes clients
 	replaced             atomic.Bool               // another process has the door
 	activeHandlers       atomic.Int64              // requests whose head was read and that are not ended
@@ -96,12 +96,12 @@
 
 // serves tells whether all clients may come here alone.
 func (s *clientServer) servesAlone() bool {
-	return s.acceptsExchanges() && (s.pair == nil || s.pair.clear())
+	return s.acceptsExchanges() && (s.pair == nil || s.pair.predecessorDrained())
 }
 
 // takes tells whether an exchange that comes now would find all it needs.
 func (s *clientServer) acceptsExchanges() bool {
-	return s.accepting.Load() && s.loop.listLoaded.Load() && s.shutdownBy.Load() == nil && (s.pair == nil || s.pair.settled())
+	return s.accepting.Load() && s.loop.listLoaded.Load() && s.shutdownBy.Load() == nil && (s.pair == nil || s.pair.listConfirmed())
 }
 
 // yields tells whether a new process takes the clients, and kept connections should go there.
--- a/internal/sidecar/sibling.go
+++ b/internal/sidecar/sibling.go
@@ -20,29 +20,29 @@
 const fromSibling = -1
 
 // partMostEntries bounds the entries in one line that a sibling tells, so that no list is too long for a line.
-const partMostEntries = 500
+const maxPartEntries = 500
 
 // knowledge is what a process was told of endpoints and of discovery.
-type knowledge struct {
-	endpointList               // the whole list as it stands
-	discovery    string        // the address in force
-	reloaded     time.Duration // when a new configuration was read last, on the machine's monotonic clock; 0 for never
-	following    bool          // a watch is open
-	drained      map[logic.EndpointID]drainRecord
-	byHand       []hands.Wish // calls by hand that are in force and not in the file that all share
-	change       uint64       // of the teller's count
+type sharedState struct {
+	endpointList                // the whole list as it stands
+	discovery     string        // the address in force
+	reloaded      time.Duration // when a new configuration was read last, on the machine's monotonic clock; 0 for never
+	following     bool          // a watch is open
+	drained       map[logic.EndpointID]drainRecord
+	pendingDrains []hands.PendingChange // calls by hand that are in force and not in the file that all share
+	change        uint64                // of the teller's count
 }
 
 // errStill is that the loop did not answer in time.
-var errStill = errors.New("the loop stands still")
+var errLoopStalled = errors.New("the loop stands still")
 
 // knowledge asks the loop for what it was told.
-func (l *loop) knowledge(patience time.Duration) (knowledge, error) {
-	answer := make(chan knowledge, 1)
-	l.postUrgent(asked(func(l *loop) {
-		k := knowledge{
+func (l *loop) sharedState(timeout time.Duration) (sharedState, error) {
+	answer := make(chan sharedState, 1)
+	l.postUrgent(loopCall(func(l *loop) {
+		k := sharedState{
 			endpointList: l.list.snapshot(), discovery: l.list.addr, reloaded: l.list.reloadedAt, following: l.list.current.isOpen(),
-			drained: map[logic.EndpointID]drainRecord{}, change: l.changeCount.Load(), byHand: l.operatorDrains.Wishes(),
+			drained: map[logic.EndpointID]drainRecord{}, change: l.changeCount.Load(), pendingDrains: l.operatorDrains.Pending(),
 		}
 		for id, mark := range l.list.drained {
 			k.drained[id] = mark
@@ -52,33 +52,33 @@
 	select {
 	case k := <-answer:
 		return k, nil
-	case <-time.After(patience):
-		return knowledge{}, errStill
+	case <-time.After(timeout):
+		return sharedState{}, errLoopStalled
 	}
 }
 
 // changed tells the siblings that there is news.
-func (l *loop) changed() {
+func (l *loop) notifySiblings() {
 	l.changeCount.Add(1)
-	if tell := l.onChange.Load(); tell != nil {
-		(*tell)()
+	if notify := l.onChange.Load(); notify != nil {
+		(*notify)()
 	}
 }
 
 // parts writes knowledge as objects of so many entries at most, in discovery's form; the last of them lacks "more".
-func (k knowledge) parts(a *fastjson.Arena, most int) (parts []*fastjson.Value) {
+func (k sharedState) parts(a *fastjson.Arena, maxEntries int) (parts []*fastjson.Value) {
 	rest := k.servers
 	for {
-		some := rest[:min(len(rest), most)]
-		rest = rest[len(some):]
-		part := encodeList(a, endpointList{version: k.version, servers: some})
+		entries := rest[:min(len(rest), maxEntries)]
+		rest = rest[len(entries):]
+		part := encodeList(a, endpointList{version: k.version, servers: entries})
 		part.Set("discovery", a.NewString(k.discovery))
 		part.Set("reloaded_ns", a.NewNumberString(strconv.FormatInt(int64(k.reloaded), 10)))
 		part.Set("following", boolean(a, k.following))
 		if len(parts) == 0 {
 			part.Set("first", a.NewTrue())
 			part.Set("drained", k.drainedList(a))
-			part.Set("by_hand", k.byHandList(a))
+			part.Set("by_hand", k.pendingDrainList(a))
 		}
 		if parts = append(parts, part); len(rest) == 0 {
 			return parts
@@ -94,7 +94,7 @@
 	return a.NewFalse()
 }
 
-func (k knowledge) drainedList(a *fastjson.Arena) *fastjson.Value {
+func (k sharedState) drainedList(a *fastjson.Arena) *fastjson.Value {
 	list, n := a.NewArray(), 0
 	for id, mark := range k.drained {
 		o := a.NewObject()
@@ -107,38 +107,38 @@
 	return list
 }
 
-func (k knowledge) byHandList(a *fastjson.Arena) *fastjson.Value {
+func (k sharedState) pendingDrainList(a *fastjson.Arena) *fastjson.Value {
 	list := a.NewArray()
-	for n, w := range k.byHand {
+	for n, w := range k.pendingDrains {
 		o := a.NewObject()
 		o.Set("id", a.NewString(w.ID))
-		o.Set("out", boolean(a, w.Out))
-		o.Set("base", a.NewNumberString(strconv.FormatUint(w.Base, 10)))
-		o.Set("at_ns", a.NewNumberString(strconv.FormatInt(int64(w.At), 10)))
+		o.Set("out", boolean(a, w.Drained))
+		o.Set("base", a.NewNumberString(strconv.FormatUint(w.BaseSerial, 10)))
+		o.Set("at_ns", a.NewNumberString(strconv.FormatInt(int64(w.ReceivedAt), 10)))
 		list.SetArrayItem(n, o)
 	}
 	return list
 }
 
 // add takes one more part, and tells whether all have come.
-func (k *knowledge) add(part *fastjson.Value) (whole bool, err error) {
-	i, err := decodeList(part)
+func (k *sharedState) addPart(part *fastjson.Value) (complete bool, err error) {
+	list, err := decodeList(part)
 	if err != nil {
 		return false, err
 	}
 	if part.GetBool("first") {
-		*k = knowledge{drained: map[logic.EndpointID]drainRecord{}}
+		*k = sharedState{drained: map[logic.EndpointID]drainRecord{}}
 		for _, o := range part.GetArray("drained") {
 			k.drained[logic.EndpointID(o.GetStringBytes("id"))] = drainRecord{version: o.GetInt64("version"), started: terms.Millis(o, "started_ms")}
 		}
 		for _, o := range part.GetArray("by_hand") {
-			k.byHand = append(k.byHand, hands.Wish{
-				ID: string(o.GetStringBytes("id")), Out: o.GetBool("out"), Base: o.GetUint64("base"), At: time.Duration(o.GetInt64("at_ns")),
+			k.pendingDrains = append(k.pendingDrains, hands.PendingChange{
+				ID: string(o.GetStringBytes("id")), Drained: o.GetBool("out"), BaseSerial: o.GetUint64("base"), ReceivedAt: time.Duration(o.GetInt64("at_ns")),
 			})
 		}
 	}
-	k.version, k.full = i.version, true
-	k.servers = append(k.servers, i.servers...)
+	k.version, k.full = list.version, true
+	k.servers = append(k.servers, list.servers...)
 	k.discovery = string(part.GetStringBytes("discovery"))
 	k.reloaded = time.Duration(part.GetInt64("reloaded_ns"))
 	k.following = part.GetBool("following")
@@ -146,26 +146,26 @@
 }
 
 // siblingTold is what another process of this sidecar knows.
-type siblingTold struct{ knowledge }
+type siblingUpdate struct{ sharedState }
 
 // happen believes a sibling whole if it follows discovery and this process does not, or if both do not and it has the later list.
 // Else the own watch counts, and of the sibling's word what takes an endpoint out, or tells of its later start, which must not wait for
 // the watch.
-func (e siblingTold) handle(l *loop) {
-	l.operatorDrains.Hear(e.byHand)
+func (e siblingUpdate) handle(l *loop) {
+	l.operatorDrains.MergePending(e.pendingDrains)
 	if e.reloaded > l.list.configuredAt {
 		discoveryChanged{e.discovery}.handle(l)
 		l.list.reloadedAt, l.list.configuredAt = e.reloaded, e.reloaded
 	}
-	same := e.discovery == l.list.addr
-	l.list.siblingWatches = same && e.following
+	sameDiscovery := e.discovery == l.list.addr
+	l.list.siblingWatches = sameDiscovery && e.following
 	switch later := e.version > l.list.version; {
-	case same && !l.list.current.isOpen() && e.version >= 0 && e.version != l.list.version && (e.following || later):
+	case sameDiscovery && !l.list.current.isOpen() && e.version >= 0 && e.version != l.list.version && (e.following || later):
 		listReceived{endpointList: e.endpointList, call: fromSibling}.handle(l)
 		l.list.version = e.version
 	default:
-		if news := l.list.newsOf(e.knowledge, same && later && l.list.version >= 0); len(news) > 0 {
-			listReceived{endpointList: endpointList{version: e.version, servers: news}, call: fromSibling}.handle(l)
+		if changes := l.list.urgentChanges(e.sharedState, sameDiscovery && later && l.list.version >= 0); len(changes) > 0 {
+			listReceived{endpointList: endpointList{version: e.version, servers: changes}, call: fromSibling}.handle(l)
 		}
 	}
 	now := time.Now()
@@ -178,24 +178,24 @@
 
 // newsOf is what a sibling knows of endpoints that are known here and must not wait: that they drain, are gone or have started anew.
 // Unless its list is later than ours, one that started later by our list is not taken out by its word, and one that it lacks is not gone.
-func (d *discoveryClient) newsOf(k knowledge, later bool) (news []listEntry) {
-	named := map[string]bool{}
+func (d *discoveryClient) urgentChanges(k sharedState, later bool) (changes []listEntry) {
+	listed := map[string]bool{}
 	for _, theirs := range k.servers {
-		named[theirs.id] = true
+		listed[theirs.id] = true
 		ours, known := d.entries[logic.EndpointID(theirs.id)]
-		out := known && ours.running && !theirs.running && (later || theirs.started >= ours.started)
-		if out || known && theirs.running && theirs.started > ours.started {
-			news = append(news, theirs)
+		drained := known && ours.running && !theirs.running && (later || theirs.started >= ours.started)
+		if drained || known && theirs.running && theirs.started > ours.started {
+			changes = append(changes, theirs)
 		}
 	}
 	if !later {
-		return news
+		return changes
 	}
 	for id, ours := range d.entries {
-		if !named[string(id)] && ours.running {
+		if !listed[string(id)] && ours.running {
 			ours.running, ours.gone = false, true
-			news = append(news, ours)
+			changes = append(changes, ours)
 		}
 	}
-	return news
+	return changes
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -57,7 +57,7 @@
 	return listText(1, true, entries...)
 }
 
-func startSidecar(t *testing.T, list string, configure func(*Start)) *testSidecar {
+func startSidecar(t *testing.T, list string, configure func(*Config)) *testSidecar {
 	text := strings.NewReplacer("%KNOWN%", list, "%SOCKETS%", "1024").Replace(startText)
 	s, err := Decode([]byte(text))
 	require.NoError(t, err)
@@ -287,7 +287,7 @@
 func TestEvictionWhenDescriptorsRunOut(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	slow := newStubEndpoint(t, neverAnswer)
-	r := startSidecar(t, listOf(s), func(s *Start) { s.Sockets = 2 * reservedDescriptors })
+	r := startSidecar(t, listOf(s), func(s *Config) { s.Sockets = 2 * reservedDescriptors })
 	descriptors, usable := r.front.descriptors, r.front.descriptors.usable
 	mostInPhase := func(in phase) func() bool {
 		return func() bool {
@@ -360,7 +360,7 @@
 
 // An application may hold a third of the descriptors: those who ask once and stay must leave some to its other requests.
 func TestKeptAliveConnectionsAreLimited(t *testing.T) {
-	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), func(s *Start) { s.Sockets = 96 })
+	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), func(s *Config) { s.Sockets = 96 })
 	var first net.Conn
 	for n := range 96 / 3 {
 		c := r.dial()
@@ -493,7 +493,7 @@
 	before, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	time.AfterFunc(50*time.Millisecond, func() { before.Close() })
-	ln, err := (&Start{}).listen(context.Background(), before.Addr().String())
+	ln, err := (&Config{}).listen(context.Background(), before.Addr().String())
 	require.NoError(t, err)
 	ln.Close()
 }
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -244,7 +244,7 @@
 		}
 		return false
 	})
-	r := startSidecar(t, listOf(s, s, s, s), func(s *Start) { s.MemoryMB = 64 })
+	r := startSidecar(t, listOf(s, s, s, s), func(s *Config) { s.MemoryMB = 64 })
 	const many = 60
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -107,8 +107,8 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	counters := &Counters{}
-	desk := &console{front: &clientServer{counters: counters}, log: zap.NewNop()}
-	l := &counter{&failingListener{ln, acceptErrnos}, desk}
+	desk := &console{server: &clientServer{counters: counters}, log: zap.NewNop()}
+	l := &callerListener{&failingListener{ln, acceptErrnos}, desk}
 	conn, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer conn.Close()
--- a/internal/sidecar/upgrade.go
+++ b/internal/sidecar/upgrade.go
@@ -26,36 +26,36 @@
 )
 
 const (
-	inheritTime = 1500 * time.Millisecond // for the old process to answer: the new one must serve within 6 s
-	tellBeat    = 50 * time.Millisecond
-	tellLast    = 20 * tellBeat // of silence, after which the other is taken for hung
-	tellRest    = 4             // times what telling took, before the next: long lists that change all the time must not take a core
-	lineMost    = maxListBytes + hands.Most
-	clearWait   = 5400 * time.Millisecond // for the old process's transfers, before the yes that is due within 6 s
-	heardWait   = 5 * time.Second         // for the new process's own watch to tell something, before the same yes
-	namePath    = 100                     // bytes that a Unix socket's name may have
+	handoverTimeout    = 1500 * time.Millisecond // for the old process to answer: the new one must serve within 6 s
+	updateInterval     = 50 * time.Millisecond
+	siblingTimeout     = 20 * updateInterval // of silence, after which the other is taken for hung
+	updatePauseFactor  = 4                   // times what telling took, before the next: long lists that change all the time must not take a core
+	maxLineBytes       = maxListBytes + hands.MaxFileBytes
+	maxTransferWait    = 5400 * time.Millisecond // for the old process's transfers, before the yes that is due within 6 s
+	maxOwnWatchWait    = 5 * time.Second         // for the new process's own watch to tell something, before the same yes
+	maxSocketNameBytes = 100                     // bytes that a Unix socket's name may have
 
 	// heritageMost bounds the entries that a new process is handed in one line.
-	heritageMost = 8192
+	maxHandoverEntries = 8192
 )
 
-var errNoElder = errors.New("nobody to inherit from")
+var errNoPredecessor = errors.New("nobody to inherit from")
 
 // heritage is what an old process hands over.
-type heritage struct {
-	door  *net.TCPListener
-	known *endpointList
-	told  *knowledge // beside known, with what it was told of those that are gone
-	out   []string
-	ever  []string
-	line  *net.UnixConn
-	read  *bufio.Reader
+type handoverState struct {
+	listener   *net.TCPListener
+	list       *endpointList
+	shared     *sharedState // beside known, with what it was told of those that are gone
+	drainedIDs []string
+	listedIDs  []string
+	conn       *net.UnixConn
+	reader     *bufio.Reader
 }
 
 // socketName is short enough for the kernel; a long one is reached through an open folder.
-func socketName(dir string) (name string, done func(), err error) {
+func socketName(dir string) (name string, release func(), err error) {
 	name = filepath.Join(dir, "lynxjunction.sock")
-	if len(name) <= namePath {
+	if len(name) <= maxSocketNameBytes {
 		return name, func() {}, nil
 	}
 	folder, err := os.Open(dir)
@@ -66,27 +66,27 @@
 }
 
 // inherit asks the process that serves now for all it has.
-func inherit(dir string) (*heritage, error) {
+func requestHandover(dir string) (*handoverState, error) {
 	if dir == "" {
-		return nil, errNoElder
+		return nil, errNoPredecessor
 	}
-	name, done, err := socketName(dir)
+	name, release, err := socketName(dir)
 	if err != nil {
 		return nil, err
 	}
-	defer done()
-	conn, err := net.DialTimeout("unix", name, inheritTime)
+	defer release()
+	conn, err := net.DialTimeout("unix", name, handoverTimeout)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, errNoElder
+		return nil, errNoPredecessor
 	}
 	if err != nil {
 		return nil, err
 	}
-	h := &heritage{line: conn.(*net.UnixConn)}
+	h := &handoverState{conn: conn.(*net.UnixConn)}
 	if err := h.receive(); err != nil {
 		conn.Close()
-		if h.door != nil {
-			h.door.Close()
+		if h.listener != nil {
+			h.listener.Close()
 		}
 		return nil, err
 	}
@@ -94,18 +94,18 @@
 }
 
 // receive takes what comes over the line: a socket, then a line of text.
-func (h *heritage) receive() error {
-	h.line.SetDeadline(time.Now().Add(inheritTime))
-	first, rights := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
-	_, n, _, _, err := h.line.ReadMsgUnix(first, rights)
+func (h *handoverState) receive() error {
+	h.conn.SetDeadline(time.Now().Add(handoverTimeout))
+	firstByte, rights := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
+	_, n, _, _, err := h.conn.ReadMsgUnix(firstByte, rights)
 	if err != nil {
 		return err
 	}
-	if h.door, err = listenerOf(rights[:n]); err != nil {
+	if h.listener, err = listenerFromRights(rights[:n]); err != nil {
 		return err
 	}
-	h.read = bufio.NewReader(h.line)
-	text, err := readLine(h.read)
+	h.reader = bufio.NewReader(h.conn)
+	text, err := readLine(h.reader)
 	if err != nil {
 		return err
 	}
@@ -119,23 +119,23 @@
 			return err
 		}
 		if known.full = true; len(known.servers) > 0 {
-			h.known = &known
+			h.list = &known
 		}
-		var told knowledge
-		if whole, err := told.add(list); err == nil && whole {
-			h.told = &told
+		var shared sharedState
+		if complete, err := shared.addPart(list); err == nil && complete {
+			h.shared = &shared
 		}
 	}
 	for _, id := range v.GetArray("out") {
-		h.out = append(h.out, string(id.GetStringBytes()))
+		h.drainedIDs = append(h.drainedIDs, string(id.GetStringBytes()))
 	}
 	for _, id := range v.GetArray("ever") {
-		h.ever = append(h.ever, string(id.GetStringBytes()))
+		h.listedIDs = append(h.listedIDs, string(id.GetStringBytes()))
 	}
-	return h.line.SetDeadline(time.Time{})
+	return h.conn.SetDeadline(time.Time{})
 }
 
-func listenerOf(rights []byte) (*net.TCPListener, error) {
+func listenerFromRights(rights []byte) (*net.TCPListener, error) {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil || len(messages) != 1 {
 		return nil, errors.Join(errors.New("no socket came"), err)
@@ -163,166 +163,166 @@
 	for {
 		part, err := r.ReadSlice('\n')
 		line = append(line, part...)
-		if err != bufio.ErrBufferFull || len(line) > lineMost {
+		if err != bufio.ErrBufferFull || len(line) > maxLineBytes {
 			return line, err
 		}
 	}
 }
 
 // peer is one other process of this sidecar, at the other end of a line.
-type peer struct {
-	line          *net.UnixConn
-	younger       bool
-	serves, takes atomic.Bool
-	held          atomic.Int64
-	wake          chan struct{} // there is news to tell
-	told          uint64        // the last change that was told
-	writes        sync.Mutex    // orders what is told
+type sibling struct {
+	conn             *net.UnixConn
+	isSuccessor      bool
+	ready, accepting atomic.Bool
+	heldDescriptors  atomic.Int64
+	wake             chan struct{} // there is news to tell
+	sentChange       uint64        // the last change that was told
+	writeMu          sync.Mutex    // orders what is told
 }
 
 // pair is this process and, during an upgrade, the other ones.
-type pair struct {
-	dir    string
-	memory int64 // what all may have
-	front  *clientServer
-	door   *net.TCPListener
-	log    *zap.Logger
-
-	mu         sync.Mutex
-	elder      *peer // the process before this one; nil for none
-	younger    *peer // the new process; nil for none
-	offers     *net.UnixListener
-	joined     bool         // there was another
-	moving     atomic.Int64 // the elder's long transfers; below 0 while it has not said
-	together   atomic.Bool
-	born       time.Time
-	heir       bool         // this process has inherited
-	waiting    atomic.Bool  // and takes no clients yet
-	limitedFor atomic.Int64 // processes that share the memory, as the collector was told; 0 for not yet
+type processGroup struct {
+	dir         string
+	memoryTenth int64 // what all may have
+	server      *clientServer
+	listener    *net.TCPListener
+	log         *zap.Logger
+
+	mu                   sync.Mutex
+	predecessor          *sibling // the process before this one; nil for none
+	successor            *sibling // the new process; nil for none
+	handoverListener     *net.UnixListener
+	hadSibling           bool         // there was another
+	predecessorTransfers atomic.Int64 // the elder's long transfers; below 0 while it has not said
+	hasSibling           atomic.Bool
+	startedAt            time.Time
+	tookOver             bool         // this process has inherited
+	awaitingList         atomic.Bool  // and takes no clients yet
+	memorySharers        atomic.Int64 // processes that share the memory, as the collector was told; 0 for not yet
 }
 
 // peers are the other processes, and how many descriptors they hold.
-func (p *pair) peers() (elder, younger *peer, held int) {
+func (p *processGroup) siblings() (predecessor, successor *sibling, heldDescriptors int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, o := range []*peer{p.elder, p.younger} {
-		if o != nil {
-			held += int(o.held.Load())
+	for _, other := range []*sibling{p.predecessor, p.successor} {
+		if other != nil {
+			heldDescriptors += int(other.heldDescriptors.Load())
 		}
 	}
-	return p.elder, p.younger, held
+	return p.predecessor, p.successor, heldDescriptors
 }
 
 // succeeds tells whether a new process serves beside this one.
-func (p *pair) succeeds() bool {
-	_, younger, _ := p.peers()
-	return younger != nil && younger.serves.Load()
+func (p *processGroup) successorReady() bool {
+	_, successor, _ := p.siblings()
+	return successor != nil && successor.ready.Load()
 }
 
 // settled tells whether what was inherited is confirmed by a watch of our own, or was waited for long enough.
-func (p *pair) settled() bool {
-	return !p.heir || p.front.loop.watchHeard.Load() || time.Since(p.born) > heardWait
+func (p *processGroup) listConfirmed() bool {
+	return !p.tookOver || p.server.loop.watchHeard.Load() || time.Since(p.startedAt) > maxOwnWatchWait
 }
 
 // clear tells whether the old process has no transfer under way that its end would cut off, or was waited for long enough.
-func (p *pair) clear() bool {
+func (p *processGroup) predecessorDrained() bool {
 	p.mu.Lock()
-	old := p.elder != nil || p.heir && !p.joined
+	expected := p.predecessor != nil || p.tookOver && !p.hadSibling
 	p.mu.Unlock()
-	return !old || p.moving.Load() == 0 || time.Since(p.born) > clearWait
+	return !expected || p.predecessorTransfers.Load() == 0 || time.Since(p.startedAt) > maxTransferWait
 }
 
 // yield lets the new process take the clients, or takes them again. The socket stays ours too: the new one may die.
-func (p *pair) yield(to bool) {
-	if listener := p.front.listener.Load(); listener != nil {
-		listener.setPaused(to || p.waiting.Load())
+func (p *processGroup) setPaused(paused bool) {
+	if listener := p.server.listener.Load(); listener != nil {
+		listener.setPaused(paused || p.awaitingList.Load())
 	}
 }
 
 // openWhenSettled leaves the clients to the old process until this one has a list of its own: what the old one was told after
 // it had handed over its list is not known here.
-func (p *pair) openWhenSettled(ctx context.Context) {
-	p.waiting.Store(true)
-	p.yield(true)
+func (p *processGroup) acceptWhenListConfirmed(ctx context.Context) {
+	p.awaitingList.Store(true)
+	p.setPaused(true)
 	go func() {
-		beat := time.NewTicker(tellBeat)
-		defer beat.Stop()
-		for !p.settled() && p.waiting.Load() && ctx.Err() == nil {
-			<-beat.C
+		ticker := time.NewTicker(updateInterval)
+		defer ticker.Stop()
+		for !p.listConfirmed() && p.awaitingList.Load() && ctx.Err() == nil {
+			<-ticker.C
 		}
-		p.open()
+		p.startAccepting()
 	}()
 }
 
 // open takes clients from now on, whatever is known.
-func (p *pair) open() {
-	p.waiting.Store(false)
-	p.front.loop.postUrgent(asked(func(l *loop) { l.module.TookOver(l.list.siblingWatches) }))
-	p.yield(false)
+func (p *processGroup) startAccepting() {
+	p.awaitingList.Store(false)
+	p.server.loop.postUrgent(loopCall(func(l *loop) { l.module.TookOver(l.list.siblingWatches) }))
+	p.setPaused(false)
 }
 
 // place is where a peer of an age stands. The caller holds mu.
-func (p *pair) place(younger bool) **peer {
-	if younger {
-		return &p.younger
+func (p *processGroup) slot(successor bool) **sibling {
+	if successor {
+		return &p.successor
 	}
-	return &p.elder
+	return &p.predecessor
 }
 
 // join speaks with another process until its line ends.
-func (p *pair) join(ctx context.Context, line *net.UnixConn, read *bufio.Reader, younger bool) {
-	other := &peer{line: line, younger: younger, wake: make(chan struct{}, 1)}
+func (p *processGroup) runSibling(ctx context.Context, conn *net.UnixConn, reader *bufio.Reader, isSuccessor bool) {
+	other := &sibling{conn: conn, isSuccessor: isSuccessor, wake: make(chan struct{}, 1)}
 	p.mu.Lock()
-	place := p.place(younger)
-	if *place != nil {
-		(*place).line.Close() // the newest counts
+	slot := p.slot(isSuccessor)
+	if *slot != nil {
+		(*slot).conn.Close() // the newest counts
 	}
-	*place, p.joined = other, true
+	*slot, p.hadSibling = other, true
 	p.mu.Unlock()
-	if !younger {
-		p.moving.Store(-1)
-	}
-	p.log.Info("another process is this sidecar too", zap.Bool("the_other_is_new", younger))
-	p.share()
-	wake := p.wakeAll
-	p.front.loop.onChange.Store(&wake)
-	stop := context.AfterFunc(ctx, func() { line.Close() })
+	if !isSuccessor {
+		p.predecessorTransfers.Store(-1)
+	}
+	p.log.Info("another process is this sidecar too", zap.Bool("the_other_is_new", isSuccessor))
+	p.shareLimits()
+	wake := p.wakeSenders
+	p.server.loop.onChange.Store(&wake)
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	go p.tell(other)
-	p.hear(other, read)
-	line.Close()
+	go p.sendUpdates(other)
+	p.receiveUpdates(other, reader)
+	conn.Close()
 	p.mu.Lock()
-	last := *place == other
-	if last {
-		*place = nil
+	current := *slot == other
+	if current {
+		*slot = nil
 	}
-	alone := p.elder == nil && p.younger == nil
+	alone := p.predecessor == nil && p.successor == nil
 	p.mu.Unlock()
 	switch {
-	case !last:
+	case !current:
 		return
 	case alone:
-		p.alone()
-	case younger:
-		p.yield(false)
-		p.share()
+		p.lastSiblingGone()
+	case isSuccessor:
+		p.setPaused(false)
+		p.shareLimits()
 	default:
-		p.open()
-		p.share()
+		p.startAccepting()
+		p.shareLimits()
 	}
-	if younger && ctx.Err() == nil && p.front.shutdownBy.Load() == nil {
-		p.offered(ctx) // it had taken the name by which a new process finds this one
+	if isSuccessor && ctx.Err() == nil && p.server.shutdownBy.Load() == nil {
+		p.tryListenForSuccessor(ctx) // it had taken the name by which a new process finds this one
 	}
 }
 
 // hear takes what another process says until its line ends.
-func (p *pair) hear(other *peer, read *bufio.Reader) {
-	var news knowledge
+func (p *processGroup) receiveUpdates(other *sibling, reader *bufio.Reader) {
+	var state sharedState
 	for {
-		other.line.SetReadDeadline(time.Now().Add(tellLast))
-		text, err := readLine(read)
+		other.conn.SetReadDeadline(time.Now().Add(siblingTimeout))
+		text, err := readLine(reader)
 		if errors.Is(err, os.ErrDeadlineExceeded) && len(text) == 0 {
-			p.hangs(other)
+			p.siblingTimedOut(other)
 			continue
 		}
 		if err != nil {
@@ -332,100 +332,100 @@
 		if err != nil {
 			return
 		}
-		other.takes.Store(v.GetBool("takes"))
-		other.serves.Store(v.GetBool("serves") || v.GetBool("takes")) // the old one may end from then on
-		other.held.Store(v.GetInt64("held"))
-		if other.younger {
-			p.yield(other.takes.Load())
+		other.accepting.Store(v.GetBool("takes"))
+		other.ready.Store(v.GetBool("serves") || v.GetBool("takes")) // the old one may end from then on
+		other.heldDescriptors.Store(v.GetInt64("held"))
+		if other.isSuccessor {
+			p.setPaused(other.accepting.Load())
 		} else {
-			p.moving.Store(v.GetInt64("moving"))
+			p.predecessorTransfers.Store(v.GetInt64("moving"))
 		}
-		p.share()
+		p.shareLimits()
 		if part := v.Get("list"); part != nil {
-			whole, err := news.add(part)
+			complete, err := state.addPart(part)
 			if err != nil {
 				p.log.Warn("what another process of this sidecar tells can't be read", zap.Error(err))
-			} else if whole {
-				p.front.loop.postUrgent(siblingTold{news})
-				news = knowledge{}
+			} else if complete {
+				p.server.loop.postUrgent(siblingUpdate{state})
+				state = sharedState{}
 			}
 		}
 	}
 }
 
 // hangs is told of another process that says nothing, and holds what it holds.
-func (p *pair) hangs(other *peer) {
-	other.serves.Store(false)
-	other.takes.Store(false)
-	if other.younger {
-		p.yield(false)
+func (p *processGroup) siblingTimedOut(other *sibling) {
+	other.ready.Store(false)
+	other.accepting.Store(false)
+	if other.isSuccessor {
+		p.setPaused(false)
 		return
 	}
-	p.moving.Store(0)
-	p.open()
+	p.predecessorTransfers.Store(0)
+	p.startAccepting()
 }
 
 // wakeAll has the other processes told at once.
-func (p *pair) wakeAll() {
-	elder, younger, _ := p.peers()
-	for _, o := range []*peer{elder, younger} {
-		if o == nil {
+func (p *processGroup) wakeSenders() {
+	predecessor, successor, _ := p.siblings()
+	for _, other := range []*sibling{predecessor, successor} {
+		if other == nil {
 			continue
 		}
 		select {
-		case o.wake <- struct{}{}:
+		case other.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
 // tell says what we hold and know until the line ends.
-func (p *pair) tell(other *peer) {
-	beat := time.NewTicker(tellBeat)
-	defer beat.Stop()
+func (p *processGroup) sendUpdates(other *sibling) {
+	ticker := time.NewTicker(updateInterval)
+	defer ticker.Stop()
 	for {
-		began := time.Now()
-		if p.say(other) != nil {
+		started := time.Now()
+		if p.sendUpdate(other) != nil {
 			return
 		}
-		time.Sleep(min(time.Since(began)*tellRest, tellLast/4))
+		time.Sleep(min(time.Since(started)*updatePauseFactor, siblingTimeout/4))
 		select {
-		case <-beat.C:
+		case <-ticker.C:
 		case <-other.wake:
 		}
 	}
 }
 
 // status is what we say of this process and of the one on its other side.
-func (p *pair) status(a *fastjson.Arena, to *peer) *fastjson.Value {
-	clients, upstream := p.front.descriptors.connections()
-	elder, younger, held := p.peers()
-	held += clients + upstream - int(to.held.Load())
-	takes, serves, moving := p.front.acceptsExchanges(), p.front.servesAlone(), p.front.transfers.Load()
-	if !to.younger && younger != nil {
-		takes, serves = takes || younger.takes.Load(), serves || younger.serves.Load()
+func (p *processGroup) status(a *fastjson.Arena, to *sibling) *fastjson.Value {
+	clients, upstream := p.server.descriptors.connections()
+	predecessor, successor, heldDescriptors := p.siblings()
+	heldDescriptors += clients + upstream - int(to.heldDescriptors.Load())
+	accepting, ready, transfers := p.server.acceptsExchanges(), p.server.servesAlone(), p.server.transfers.Load()
+	if !to.isSuccessor && successor != nil {
+		accepting, ready = accepting || successor.accepting.Load(), ready || successor.ready.Load()
 	}
-	if to.younger && elder != nil {
-		moving += max(p.moving.Load(), 0)
+	if to.isSuccessor && predecessor != nil {
+		transfers += max(p.predecessorTransfers.Load(), 0)
 	}
 	v := a.NewObject()
-	v.Set("held", a.NewNumberInt(max(held, 0)))
-	v.Set("moving", a.NewNumberString(strconv.FormatInt(moving, 10)))
-	v.Set("takes", boolean(a, takes))
-	v.Set("serves", boolean(a, serves))
+	v.Set("held", a.NewNumberInt(max(heldDescriptors, 0)))
+	v.Set("moving", a.NewNumberString(strconv.FormatInt(transfers, 10)))
+	v.Set("takes", boolean(a, accepting))
+	v.Set("serves", boolean(a, ready))
 	return v
 }
 
 // say tells another process our status, and all that we know if that has changed since we told it last.
-func (p *pair) say(other *peer) error {
-	other.writes.Lock()
-	defer other.writes.Unlock()
+func (p *processGroup) sendUpdate(other *sibling) error {
+	other.writeMu.Lock()
+	defer other.writeMu.Unlock()
 	var a fastjson.Arena
 	var parts []*fastjson.Value
-	var told uint64
-	if p.front.loop.changeCount.Load() != other.told {
-		if k, err := p.front.loop.knowledge(tellLast / 4); err == nil {
-			parts, told = k.parts(&a, partMostEntries), k.change
+	var change uint64
+	if p.server.loop.changeCount.Load() != other.sentChange {
+		if k, err := p.server.loop.sharedState(siblingTimeout / 4); err == nil {
+			parts, change = k.parts(&a, maxPartEntries), k.change
 		}
 	}
 	if len(parts) == 0 {
@@ -436,62 +436,62 @@
 		if part != nil {
 			v.Set("list", part)
 		}
-		other.line.SetWriteDeadline(time.Now().Add(tellLast))
-		if _, err := other.line.Write(append(v.MarshalTo(nil), '\n')); err != nil {
-			other.line.Close()
+		other.conn.SetWriteDeadline(time.Now().Add(siblingTimeout))
+		if _, err := other.conn.Write(append(v.MarshalTo(nil), '\n')); err != nil {
+			other.conn.Close()
 			return err
 		}
 	}
-	if told > 0 {
-		other.told = told
+	if change > 0 {
+		other.sentChange = change
 	}
 	return nil
 }
 
 // assure tells the other processes now what we are about to tell staff, and the last of what we know before our end: SIGTERM may reach
 // them before our next beat.
-func (p *pair) assure() {
-	elder, younger, _ := p.peers()
-	for _, o := range []*peer{elder, younger} {
-		if o != nil {
-			p.say(o)
+func (p *processGroup) updateSiblingsNow() {
+	predecessor, successor, _ := p.siblings()
+	for _, other := range []*sibling{predecessor, successor} {
+		if other != nil {
+			p.sendUpdate(other)
 		}
 	}
 }
 
 // share leaves the other processes their part of memory and descriptors.
-func (p *pair) share() {
-	elder, younger, held := p.peers()
-	if elder == nil && younger == nil {
+func (p *processGroup) shareLimits() {
+	predecessor, successor, heldDescriptors := p.siblings()
+	if predecessor == nil && successor == nil {
 		return
 	}
 	processes := int64(2)
-	if elder != nil && younger != nil {
+	if predecessor != nil && successor != nil {
 		processes = 3
 	}
-	p.together.Store(true)
-	if p.limitedFor.Swap(processes) != processes {
-		debug.SetMemoryLimit(p.memory * memoryPart / processes)
+	p.hasSibling.Store(true)
+	if p.memorySharers.Swap(processes) != processes {
+		debug.SetMemoryLimit(p.memoryTenth * memoryLimitTenths / processes)
 	}
-	p.front.descriptors.shareWith(held)
+	p.server.descriptors.shareWith(heldDescriptors)
 }
 
-func (p *pair) alone() {
-	p.together.Store(false)
-	p.limitedFor.Store(1)
-	p.open()
-	debug.SetMemoryLimit(p.memory * memoryPart)
-	p.front.descriptors.shareWith(-1)
+func (p *processGroup) lastSiblingGone() {
+	p.hasSibling.Store(false)
+	p.memorySharers.Store(1)
+	p.startAccepting()
+	debug.SetMemoryLimit(p.memoryTenth * memoryLimitTenths)
+	p.server.descriptors.shareWith(-1)
 	p.log.Info("one process is this sidecar")
 }
 
 // offer lets a new process come, whenever it does.
-func (p *pair) offer(ctx context.Context) error {
-	name, done, err := socketName(p.dir)
+func (p *processGroup) listenForSuccessor(ctx context.Context) error {
+	name, release, err := socketName(p.dir)
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer release()
 	os.Remove(name) // of a process that is gone: one that is not has told us so
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
 	if err != nil {
@@ -500,79 +500,79 @@
 	ln.SetUnlinkOnClose(false)
 	context.AfterFunc(ctx, func() { ln.Close() })
 	p.mu.Lock()
-	before := p.offers
-	p.offers = ln
+	previous := p.handoverListener
+	p.handoverListener = ln
 	p.mu.Unlock()
-	if before != nil {
-		before.Close()
+	if previous != nil {
+		previous.Close()
 	}
 	go func() {
 		for {
-			line, err := acceptUntilClosed(ln, p.front.counters, p.log)
+			conn, err := acceptUntilClosed(ln, p.server.counters, p.log)
 			if err != nil {
 				return
 			}
-			go p.hand(ctx, line.(*net.UnixConn))
+			go p.handOver(ctx, conn.(*net.UnixConn))
 		}
 	}()
 	return nil
 }
 
 // hand gives a new process all it needs.
-func (p *pair) hand(ctx context.Context, line *net.UnixConn) {
-	line.SetDeadline(time.Now().Add(inheritTime))
-	raw, err := p.door.SyscallConn()
+func (p *processGroup) handOver(ctx context.Context, conn *net.UnixConn) {
+	conn.SetDeadline(time.Now().Add(handoverTimeout))
+	raw, err := p.listener.SyscallConn()
 	if err == nil {
 		// Within Control the descriptor stays open; a copy through File would make it blocking, ours as well.
-		if e := raw.Control(func(fd uintptr) { _, _, err = line.WriteMsgUnix([]byte("\n"), unix.UnixRights(int(fd)), nil) }); e != nil {
+		if e := raw.Control(func(fd uintptr) { _, _, err = conn.WriteMsgUnix([]byte("\n"), unix.UnixRights(int(fd)), nil) }); e != nil {
 			err = e
 		}
 	}
 	if err == nil {
-		_, err = line.Write(append(p.heritage(), '\n'))
+		_, err = conn.Write(append(p.handoverMessage(), '\n'))
 	}
 	if err != nil {
 		p.log.Warn("a new process came and could not be given the door", zap.Error(err))
-		line.Close()
+		conn.Close()
 		return
 	}
-	line.SetDeadline(time.Time{})
-	p.join(ctx, line, bufio.NewReader(line), true)
+	conn.SetDeadline(time.Time{})
+	p.runSibling(ctx, conn, bufio.NewReader(conn), true)
 }
 
 // heritage is what the new process starts from, in discovery's form; a loop that stands still adds no list.
-func (p *pair) heritage() []byte {
+func (p *processGroup) handoverMessage() []byte {
 	var a fastjson.Arena
 	v := a.NewObject()
-	texts := func(ids []string) *fastjson.Value {
+	stringArray := func(ids []string) *fastjson.Value {
 		list := a.NewArray()
 		for n, id := range ids {
 			list.SetArrayItem(n, a.NewString(id))
 		}
 		return list
 	}
-	out, ever := p.front.loop.operatorDrains.All()
-	v.Set("out", texts(out))
-	v.Set("ever", texts(ever))
+	drainedIDs, listedIDs := p.server.loop.operatorDrains.Snapshot()
+	v.Set("out", stringArray(drainedIDs))
+	v.Set("ever", stringArray(listedIDs))
 	// A list that does not fit is told in parts, once the line is joined.
-	if k, err := p.front.loop.knowledge(inheritTime / 3); err == nil && len(k.servers) <= heritageMost {
-		v.Set("list", k.parts(&a, heritageMost)[0])
+	if k, err := p.server.loop.sharedState(handoverTimeout / 3); err == nil && len(k.servers) <= maxHandoverEntries {
+		v.Set("list", k.parts(&a, maxHandoverEntries)[0])
 	}
 	return v.MarshalTo(nil)
 }
 
 // offered is offer for a process that can do without: it is then replaced as if there were none before it.
-func (p *pair) offered(ctx context.Context) {
+func (p *processGroup) tryListenForSuccessor(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
 	}
-	if err := p.offer(ctx); err != nil {
+	if err := p.listenForSuccessor(ctx); err != nil {
 		p.log.Warn("a new process could not ask for the door", zap.Error(err))
 	}
 }
 
 // shared lets the address be listened at once more, should a new process find this one hung.
-func shared(_, _ string, c syscall.RawConn) (err error) {
+func setReusePort(_, _ string, c syscall.RawConn) (err error) {
 	if e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
 		return e
 	}
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -16,7 +16,7 @@
 )
 
 // Whoever does not answer as an old process does must not keep a new one from starting.
-func TestInheritFromNobody(t *testing.T) {
+func TestHandoverWithoutAPredecessorThatAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		old  func(dir string, ln net.Listener)
@@ -48,70 +48,70 @@
 					c.old(dir, ln)
 				}
 			}
-			began := time.Now()
-			h, err := inherit(dir)
+			started := time.Now()
+			h, err := requestHandover(dir)
 			assert.Nil(t, h)
 			assert.Error(t, err)
-			assert.Equal(t, c.none, err == errNoElder)
-			assert.Less(t, time.Since(began), 2*inheritTime, "well within the 6 s")
+			assert.Equal(t, c.none, err == errNoPredecessor)
+			assert.Less(t, time.Since(started), 2*handoverTimeout, "well within the 6 s")
 		})
 	}
 }
 
-func TestHeritage(t *testing.T) {
+func TestHandover(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40)) // longer than the kernel's names
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s), withConsole(dir))
-	door, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	r.loop.operatorDrains.Listed("gone")
+	r.loop.operatorDrains.RecordListed("gone")
 	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() }, 5*time.Second, time.Millisecond)
-	require.NoError(t, r.loop.operatorDrains.Change(t.Context(), "s0", true))
-	old := &pair{dir: dir, memory: 100 << 20 / 10, front: r.front, door: door.(*net.TCPListener), log: zap.NewNop()}
-	require.NoError(t, old.offer(t.Context()))
-	h, err := inherit(dir)
+	require.NoError(t, r.loop.operatorDrains.SetDrain(t.Context(), "s0", true))
+	predecessor := &processGroup{dir: dir, memoryTenth: 100 << 20 / 10, server: r.front, listener: listener.(*net.TCPListener), log: zap.NewNop()}
+	require.NoError(t, predecessor.listenForSuccessor(t.Context()))
+	h, err := requestHandover(dir)
 	require.NoError(t, err)
-	assert.Equal(t, []string{"s0"}, h.out)
-	assert.ElementsMatch(t, []string{"gone", "s0"}, h.ever)
-	require.NotNil(t, h.known)
+	assert.Equal(t, []string{"s0"}, h.drainedIDs)
+	assert.ElementsMatch(t, []string{"gone", "s0"}, h.listedIDs)
+	require.NotNil(t, h.list)
 	assert.Equal(t, endpointList{version: 1, full: true, servers: []listEntry{
-		{id: "s0", addr: s.Addr().String(), zone: "a", cell: 1, running: true, weight: 1}}}, *h.known)
+		{id: "s0", addr: s.Addr().String(), zone: "a", cell: 1, running: true, weight: 1}}}, *h.list)
 	// One queue: whoever is connected while the old one closes is taken by the new one.
-	c, err := net.Dial("tcp", door.Addr().String())
+	c, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
 	defer c.Close()
-	door.Close()
-	taken, err := h.door.Accept()
+	listener.Close()
+	accepted, err := h.listener.Accept()
 	require.NoError(t, err)
-	taken.Close()
-	h.door.Close()
-	assert.Eventually(t, func() bool { return old.together.Load() }, 5*time.Second, time.Millisecond)
-	assert.False(t, old.succeeds())
-	fmt.Fprintln(h.line, `{"held":700,"serves":true}`)
-	assert.Eventually(t, old.succeeds, 5*time.Second, time.Millisecond)
-	line, err := bufio.NewReader(h.line).ReadString('\n')
+	accepted.Close()
+	h.listener.Close()
+	assert.Eventually(t, func() bool { return predecessor.hasSibling.Load() }, 5*time.Second, time.Millisecond)
+	assert.False(t, predecessor.successorReady())
+	fmt.Fprintln(h.conn, `{"held":700,"serves":true}`)
+	assert.Eventually(t, predecessor.successorReady, 5*time.Second, time.Millisecond)
+	line, err := bufio.NewReader(h.conn).ReadString('\n')
 	assert.NoError(t, err)
 	assert.Contains(t, line, `"serves":true`)
-	few := r.front.descriptors
+	descriptors := r.front.descriptors
 	usable := func() int {
-		few.mu.Lock()
-		defer few.mu.Unlock()
-		return few.usable
+		descriptors.mu.Lock()
+		defer descriptors.mu.Unlock()
+		return descriptors.usable
 	}
-	assert.Less(t, usable(), few.usableAlone/2)
-	h.line.Close()
-	assert.Eventually(t, func() bool { return !old.succeeds() && !old.together.Load() }, 5*time.Second, time.Millisecond)
-	assert.Equal(t, few.usableAlone, usable(), "alone again")
+	assert.Less(t, usable(), descriptors.usableAlone/2)
+	h.conn.Close()
+	assert.Eventually(t, func() bool { return !predecessor.successorReady() && !predecessor.hasSibling.Load() }, 5*time.Second, time.Millisecond)
+	assert.Equal(t, descriptors.usableAlone, usable(), "alone again")
 }
 
 // Two processes hold no more together than one may.
-func TestDescriptorsAreShared(t *testing.T) {
+func TestProcessesOfOneSidecarShareDescriptors(t *testing.T) {
 	for _, c := range []struct{ limit, mine, others int }{
 		{384, 0, 0}, {384, 20, 40}, {384, 300, 0}, {384, 0, 300}, {384, 100, 100}, {256, 150, 20}, {96, 20, 20},
 	} {
-		s := newDescriptorLimiter(c.limit-callersMost, &Counters{})
-		s.reserved, s.upstreamConns = reservedDescriptors+callersMost, c.mine
+		s := newDescriptorLimiter(c.limit-maxCallers, &Counters{})
+		s.reserved, s.upstreamConns = reservedDescriptors+maxCallers, c.mine
 		s.closeIdleUpstream = func() bool { s.releaseUpstream(); return true }
 		s.shareWith(c.others)
 		assert.LessOrEqual(t, s.upstreamConns, s.usable, "idle ones give way: %+v", c)
@@ -124,19 +124,19 @@
 }
 
 // A new process says yes once its own watch has told something, or has had its time.
-func TestSettled(t *testing.T) {
+func TestNotReadyBeforeItsOwnWatchReportsAList(t *testing.T) {
 	d := newStubEndpoint(t, neverAnswer)
-	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), func(s *Start) {
+	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), func(s *Config) {
 		withConsole("")(s)
 		s.Discovery = d.Addr().String()
 	})
 	<-d.received // the first call is open
-	r.front.pair = &pair{front: r.front, heir: true, born: time.Now()}
+	r.front.pair = &processGroup{server: r.front, tookOver: true, startedAt: time.Now()}
 	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.accepting.Load() }, 5*time.Second, time.Millisecond)
 	assert.False(t, r.front.servesAlone())
-	r.front.pair.born = time.Now().Add(-heardWait)
+	r.front.pair.startedAt = time.Now().Add(-maxOwnWatchWait)
 	assert.True(t, r.front.servesAlone())
-	r.front.pair.born = time.Now()
+	r.front.pair.startedAt = time.Now()
 	r.loop.post(listReceived{endpointList: endpointList{version: 2}, call: 1})
 	assert.Eventually(t, r.front.servesAlone, 5*time.Second, time.Millisecond)
 }
@@ -144,27 +144,27 @@
 // A drain that the old process was told after it had handed over its list is not known to the new one, which sent requests there
 // until its own watch told it (seen by the soak: a drain during a hand-over, three faulty calls). It leaves the clients to the
 // old one until then, unless that hangs or is gone.
-func TestANewProcessTakesNoClientsBeforeItsOwnList(t *testing.T) {
-	for name, frees := range map[string]func(r *testSidecar, p *pair){
-		"its own list":           func(r *testSidecar, _ *pair) { r.loop.watchHeard.Store(true) },
-		"the old one is gone":    func(_ *testSidecar, p *pair) { p.alone() },
-		"it has waited its time": func(_ *testSidecar, p *pair) { p.born = time.Now().Add(-heardWait) },
+func TestNewProcessAcceptsNoClientsBeforeItsOwnList(t *testing.T) {
+	for name, confirm := range map[string]func(r *testSidecar, p *processGroup){
+		"its own list":           func(r *testSidecar, _ *processGroup) { r.loop.watchHeard.Store(true) },
+		"the old one is gone":    func(_ *testSidecar, p *processGroup) { p.lastSiblingGone() },
+		"it has waited its time": func(_ *testSidecar, p *processGroup) { p.startedAt = time.Now().Add(-maxOwnWatchWait) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
 			assert.Eventually(t, func() bool { return r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
 			r.loop.watchHeard.Store(false)
-			p := &pair{front: r.front, memory: 10 << 20, log: zap.NewNop(), heir: true, born: time.Now()}
+			p := &processGroup{server: r.front, memoryTenth: 10 << 20, log: zap.NewNop(), tookOver: true, startedAt: time.Now()}
 			if name == "it has waited its time" {
-				frees(r, p)
+				confirm(r, p)
 			}
-			p.openWhenSettled(t.Context())
+			p.acceptWhenListConfirmed(t.Context())
 			if name != "it has waited its time" {
-				time.Sleep(3 * tellBeat)
+				time.Sleep(3 * updateInterval)
 				assert.True(t, r.front.listener.Load().isPaused(), "the old process takes the clients")
-				p.yield(false) // the old one says that it is there
+				p.setPaused(false) // the old one says that it is there
 				assert.True(t, r.front.listener.Load().isPaused())
-				frees(r, p)
+				confirm(r, p)
 			}
 			assert.Eventually(t, func() bool { return !r.front.listener.Load().isPaused() }, 5*time.Second, time.Millisecond)
 		})
@@ -173,39 +173,39 @@
 
 // Transfers under way would be cut off when the old process ends: the new one takes all clients first, and says yes when
 // the old one has none left. Should the new one die meanwhile, the old one opens its door again.
-func TestTransfersAreDrainedBeforeTheYes(t *testing.T) {
+func TestNotReadyWhileThePredecessorHasTransfers(t *testing.T) {
 	dir := t.TempDir()
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(dir))
 	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
 	listener := r.front.listener.Load()
-	old := &pair{dir: dir, memory: 10 << 20, front: r.front, door: listener.TCPListener, log: zap.NewNop()}
-	require.NoError(t, old.offer(t.Context()))
+	predecessor := &processGroup{dir: dir, memoryTenth: 10 << 20, server: r.front, listener: listener.TCPListener, log: zap.NewNop()}
+	require.NoError(t, predecessor.listenForSuccessor(t.Context()))
 	r.front.transfers.Add(1)
-	h, err := inherit(dir)
+	h, err := requestHandover(dir)
 	require.NoError(t, err)
-	defer h.door.Close()
-	next := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
-	p := &pair{dir: dir, memory: 10 << 20, front: next.front, log: zap.NewNop(), heir: true, born: time.Now()}
-	p.moving.Store(-1)
-	next.loop.watchHeard.Store(true)
-	assert.Eventually(t, next.front.servesAlone, 5*time.Second, time.Millisecond, "alone")
+	defer h.listener.Close()
+	successor := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
+	p := &processGroup{dir: dir, memoryTenth: 10 << 20, server: successor.front, log: zap.NewNop(), tookOver: true, startedAt: time.Now()}
+	p.predecessorTransfers.Store(-1)
+	successor.loop.watchHeard.Store(true)
+	assert.Eventually(t, successor.front.servesAlone, 5*time.Second, time.Millisecond, "alone")
 	done := make(chan bool)
-	next.loop.post(loopFunc(func(*loop) { close(done) }))
+	successor.loop.post(loopFunc(func(*loop) { close(done) }))
 	<-done
-	next.front.pair = p
-	go p.join(t.Context(), h.line, h.read, false)
+	successor.front.pair = p
+	go p.runSibling(t.Context(), h.conn, h.reader, false)
 	assert.Eventually(t, listener.isPaused, 5*time.Second, time.Millisecond, "the old one takes nobody any more")
-	assert.Eventually(t, func() bool { return p.moving.Load() == 1 }, 5*time.Second, time.Millisecond)
-	assert.False(t, next.front.servesAlone(), "not while the old one has a transfer")
+	assert.Eventually(t, func() bool { return p.predecessorTransfers.Load() == 1 }, 5*time.Second, time.Millisecond)
+	assert.False(t, successor.front.servesAlone(), "not while the old one has a transfer")
 	c := r.dial() // it waits in the queue that both have
 	c.Write([]byte(requestText("1", "GET", "look", "")))
 	r.front.transfers.Add(-1)
-	assert.Eventually(t, next.front.servesAlone, 5*time.Second, time.Millisecond)
-	assert.True(t, old.succeeds())
-	p.born = time.Now().Add(-clearWait)
-	p.moving.Store(7)
-	assert.True(t, p.clear(), "it was waited for long enough")
-	h.line.Close()
+	assert.Eventually(t, successor.front.servesAlone, 5*time.Second, time.Millisecond)
+	assert.True(t, predecessor.successorReady())
+	p.startedAt = time.Now().Add(-maxTransferWait)
+	p.predecessorTransfers.Store(7)
+	assert.True(t, p.predecessorDrained(), "it was waited for long enough")
+	h.conn.Close()
 	got, body := exchangeOn(c, "")
 	require.NotNil(t, got, body)
 	assert.Equal(t, 200, got.StatusCode, "the new one died: the old one takes who waits")
