--- a/internal/hands/hands.go
+++ b/internal/hands/hands.go
@@ -76,28 +76,28 @@
 }
 
 // Wishes are the calls in force that the file lacks, by id.
-func (h *DrainStore) Pending() (list []PendingChange) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, id := range slices.Sorted(maps.Keys(h.pending)) {
-		w := h.pending[id]
-		list = append(list, PendingChange{ID: id, Drained: w.drained, BaseSerial: w.baseSerial, ReceivedAt: w.receivedAt})
-	}
-	return list
+func (s *DrainStore) Pending() (changes []PendingChange) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, id := range slices.Sorted(maps.Keys(s.pending)) {
+		entry := s.pending[id]
+		changes = append(changes, PendingChange{ID: id, Drained: entry.drained, BaseSerial: entry.baseSerial, ReceivedAt: entry.receivedAt})
+	}
+	return changes
 }
 
 // Hear puts in force what another process was told by hand, unless a later call is known here or stands in the file.
-func (h *DrainStore) MergePending(list []PendingChange) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, w := range list {
-		own, exists := h.pending[w.ID]
-		if exists && own.receivedAt >= w.ReceivedAt || h.saved.changeSerials[w.ID] > w.BaseSerial {
+func (s *DrainStore) MergePending(changes []PendingChange) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, change := range changes {
+		own, exists := s.pending[change.ID]
+		if exists && own.receivedAt >= change.ReceivedAt || s.saved.changeSerials[change.ID] > change.BaseSerial {
 			continue
 		}
-		h.addListed(w.ID)
-		h.pending[w.ID] = pendingEntry{drained: w.Drained, baseSerial: w.BaseSerial, callerWaiting: exists && own.callerWaiting && own.drained == w.Drained, receivedAt: w.ReceivedAt}
-		h.apply(w.ID, w.Drained)
+		s.addListed(change.ID)
+		s.pending[change.ID] = pendingEntry{drained: change.Drained, baseSerial: change.BaseSerial, callerWaiting: exists && own.callerWaiting && own.drained == change.Drained, receivedAt: change.ReceivedAt}
+		s.apply(change.ID, change.Drained)
 	}
 }
 
@@ -110,81 +110,81 @@
 
 // New reads what the process before this one left in dir; "" keeps all in memory.
 func New(dir string, log *zap.Logger) *DrainStore {
-	h := &DrainStore{OnChange: func(string, bool) {}, log: log, drained: map[string]bool{}, pending: map[string]pendingEntry{}, listed: map[string]bool{},
+	s := &DrainStore{OnChange: func(string, bool) {}, log: log, drained: map[string]bool{}, pending: map[string]pendingEntry{}, listed: map[string]bool{},
 		wake: make(chan struct{}, 1)}
 	if dir != "" {
-		h.file = newFile(dir)
-		h.reload()
+		s.file = newFile(dir)
+		s.reload()
 	}
-	return h
+	return s
 }
 
 // Listed remembers an id. It never waits for whoever waits for the disk.
-func (h *DrainStore) RecordListed(id string) {
-	h.newlyListedMu.Lock()
-	defer h.newlyListedMu.Unlock()
-	if h.newlyListed = append(h.newlyListed, id); len(h.newlyListed) > maxListed {
-		h.newlyListed = h.newlyListed[1:]
+func (s *DrainStore) RecordListed(id string) {
+	s.newlyListedMu.Lock()
+	defer s.newlyListedMu.Unlock()
+	if s.newlyListed = append(s.newlyListed, id); len(s.newlyListed) > maxListed {
+		s.newlyListed = s.newlyListed[1:]
 	}
 }
 
-func (h *DrainStore) mergeNewlyListed() {
-	h.newlyListedMu.Lock()
-	ids := h.newlyListed
-	h.newlyListed = nil
-	h.newlyListedMu.Unlock()
+func (s *DrainStore) mergeNewlyListed() {
+	s.newlyListedMu.Lock()
+	ids := s.newlyListed
+	s.newlyListed = nil
+	s.newlyListedMu.Unlock()
 	for _, id := range ids {
-		h.addListed(id)
+		s.addListed(id)
 	}
 }
 
 // know keeps an id; beyond the bound the oldest that is not out is forgotten.
-func (h *DrainStore) addListed(id string) {
-	if h.listed[id] {
+func (s *DrainStore) addListed(id string) {
+	if s.listed[id] {
 		return
 	}
-	h.listed[id], h.listedUnsaved = true, true
-	h.listedOrder = append(h.listedOrder, id)
-	if len(h.listedOrder) > maxListed {
-		if n := slices.IndexFunc(h.listedOrder, h.evictable); n >= 0 {
-			delete(h.listed, h.listedOrder[n])
-			h.listedOrder = slices.Delete(h.listedOrder, n, n+1)
+	s.listed[id], s.listedUnsaved = true, true
+	s.listedOrder = append(s.listedOrder, id)
+	if len(s.listedOrder) > maxListed {
+		if n := slices.IndexFunc(s.listedOrder, s.evictable); n >= 0 {
+			delete(s.listed, s.listedOrder[n])
+			s.listedOrder = slices.Delete(s.listedOrder, n, n+1)
 		}
 	}
 }
 
 // idle tells whether neither a ban nor a call that the file lacks hangs on an id.
-func (h *DrainStore) evictable(id string) bool {
-	_, pending := h.pending[id]
-	return !pending && !h.drained[id] && !h.saved.drained[id]
+func (s *DrainStore) evictable(id string) bool {
+	_, pending := s.pending[id]
+	return !pending && !s.drained[id] && !s.saved.drained[id]
 }
 
 // Bans are those in force, sorted.
-func (h *DrainStore) Drained() []string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return slices.Sorted(maps.Keys(h.drained))
+func (s *DrainStore) Drained() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Sorted(maps.Keys(s.drained))
 }
 
 // All are the bans and the ids once listed.
-func (h *DrainStore) Snapshot() (drained, listed []string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.mergeNewlyListed()
-	return slices.Sorted(maps.Keys(h.drained)), slices.Clone(h.listedOrder)
+func (s *DrainStore) Snapshot() (drained, listed []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.mergeNewlyListed()
+	return slices.Sorted(maps.Keys(s.drained)), slices.Clone(s.listedOrder)
 }
 
 // Inherit takes over what the process before this one says, beside what the file says: either may be lost.
-func (h *DrainStore) Restore(drained, listed []string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (s *DrainStore) Restore(drained, listed []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, id := range listed {
-		h.addListed(id)
+		s.addListed(id)
 	}
-	if !h.fileRead {
+	if !s.fileRead {
 		for _, id := range drained {
-			h.addListed(id)
-			h.setPending(id, true, false)
+			s.addListed(id)
+			s.setPending(id, true, false)
 		}
 	}
 }
@@ -192,26 +192,26 @@
 // Change takes a call by hand: in force here at once if the id is known, then kept. nil says that it is on the disk. On
 // ErrNotKept and ErrNotYet it is in force, might not outlast the process, and is tried again until the file has it or has a
 // later word on the id. ErrNotYet comes when ctx ends.
-func (h *DrainStore) SetDrain(ctx context.Context, id string, drained bool) error {
-	h.mu.Lock()
-	h.mergeNewlyListed()
-	known := h.listed[id]
+func (s *DrainStore) SetDrain(ctx context.Context, id string, drained bool) error {
+	s.mu.Lock()
+	s.mergeNewlyListed()
+	known := s.listed[id]
 	if known {
-		h.setPending(id, drained, true)
+		s.setPending(id, drained, true)
 	}
-	if h.file == nil {
-		delete(h.pending, id)
-		h.mu.Unlock()
+	if s.file == nil {
+		delete(s.pending, id)
+		s.mu.Unlock()
 		if !known {
 			return ErrNeverListed
 		}
 		return nil
 	}
 	c := &call{id: id, drained: drained, unknownID: !known, result: make(chan error, 1)}
-	h.queue = append(h.queue, c)
-	h.mu.Unlock()
+	s.queue = append(s.queue, c)
+	s.mu.Unlock()
 	select {
-	case h.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 	select {
@@ -219,113 +219,113 @@
 		return err
 	case <-ctx.Done():
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	select {
 	case err := <-c.result:
 		return err
 	default:
 	}
-	h.queue = slices.DeleteFunc(h.queue, func(o *call) bool { return o == c })
-	if w, ok := h.pending[id]; ok && w.drained == drained {
-		w.callerWaiting = false
-		h.pending[id] = w
+	s.queue = slices.DeleteFunc(s.queue, func(other *call) bool { return other == c })
+	if entry, ok := s.pending[id]; ok && entry.drained == drained {
+		entry.callerWaiting = false
+		s.pending[id] = entry
 	}
 	return ErrNotSavedYet
 }
 
 // wish puts a call in force; the file follows.
-func (h *DrainStore) setPending(id string, drained, callerWaiting bool) {
-	h.pending[id] = pendingEntry{drained: drained, baseSerial: h.saved.changeSerials[id], callerWaiting: callerWaiting, receivedAt: clock.Monotonic()}
-	h.apply(id, drained)
+func (s *DrainStore) setPending(id string, drained, callerWaiting bool) {
+	s.pending[id] = pendingEntry{drained: drained, baseSerial: s.saved.changeSerials[id], callerWaiting: callerWaiting, receivedAt: clock.Monotonic()}
+	s.apply(id, drained)
 }
 
-func (h *DrainStore) apply(id string, drained bool) {
-	if h.drained[id] == drained {
+func (s *DrainStore) apply(id string, drained bool) {
+	if s.drained[id] == drained {
 		return
 	}
 	if drained {
-		h.drained[id] = true
+		s.drained[id] = true
 	} else {
-		delete(h.drained, id)
+		delete(s.drained, id)
 	}
-	h.OnChange(id, drained)
+	s.OnChange(id, drained)
 }
 
 // Run looks after the file until ctx ends, and then writes once more what is not in it.
-func (h *DrainStore) Run(ctx context.Context) {
+func (s *DrainStore) Run(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			h.retryAt = time.Time{}
-			h.Sync(time.Now())
+			s.retryAt = time.Time{}
+			s.Sync(time.Now())
 			return
-		case <-h.wake:
+		case <-s.wake:
 		case <-ticker.C:
 		}
-		h.Sync(time.Now())
+		s.Sync(time.Now())
 	}
 }
 
 // Look is one round of Run: what the file says holds here, and what was said here goes into the file.
-func (h *DrainStore) Sync(now time.Time) {
-	if h.file == nil {
+func (s *DrainStore) Sync(now time.Time) {
+	if s.file == nil {
 		return
 	}
-	h.reload()
-	h.mu.Lock()
-	h.mergeNewlyListed()
-	h.resolveUnknown()
-	due := len(h.queue) > 0 || len(h.pending) > 0 && now.After(h.retryAt) || h.listedUnsaved && now.After(h.saveAt)
-	h.mu.Unlock()
+	s.reload()
+	s.mu.Lock()
+	s.mergeNewlyListed()
+	s.resolveUnknown()
+	due := len(s.queue) > 0 || len(s.pending) > 0 && now.After(s.retryAt) || s.listedUnsaved && now.After(s.saveAt)
+	s.mu.Unlock()
 	if !due {
 		return
 	}
-	writeTime, err := h.file.withLock(h.commit)
+	writeTime, err := s.file.withLock(s.commit)
 	if writeTime > 0 {
-		h.saveAt = now.Add(max(minSaveInterval, saveIntervalFactor*writeTime))
+		s.saveAt = now.Add(max(minSaveInterval, saveIntervalFactor*writeTime))
 	}
 	if errors.Is(err, errBusy) {
 		return // the other process writes: whoever calls waits for as long as it may
 	}
 	if err != nil {
-		h.retryAt = now.Add(retryInterval)
-		h.failWaiting(err)
+		s.retryAt = now.Add(retryInterval)
+		s.failWaiting(err)
 	}
 }
 
 // commit writes all that was said until now. The other process is kept out meanwhile.
-func (h *DrainStore) commit() error {
-	h.reload()
-	h.mu.Lock()
-	h.mergeNewlyListed()
-	h.resolveUnknown()
-	calls, written := h.queue, maps.Clone(h.pending)
-	h.queue = nil
-	next := h.saved.next()
-	for id, w := range written {
-		next.setDrain(id, w.drained)
-	}
-	next.listed = slices.Clone(h.listedOrder)
-	next.pruneChangeSerials(h.listed)
-	h.listedUnsaved = false
-	h.mu.Unlock()
-	err := h.file.save(next)
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (s *DrainStore) commit() error {
+	s.reload()
+	s.mu.Lock()
+	s.mergeNewlyListed()
+	s.resolveUnknown()
+	calls, written := s.queue, maps.Clone(s.pending)
+	s.queue = nil
+	next := s.saved.next()
+	for id, entry := range written {
+		next.setDrain(id, entry.drained)
+	}
+	next.listed = slices.Clone(s.listedOrder)
+	next.pruneChangeSerials(s.listed)
+	s.listedUnsaved = false
+	s.mu.Unlock()
+	err := s.file.save(next)
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if err != nil {
-		h.queue, h.listedUnsaved = append(calls, h.queue...), true
+		s.queue, s.listedUnsaved = append(calls, s.queue...), true
 		return err
 	}
-	h.saved, h.fileRead, h.fileDamaged = next, true, false
-	for id, w := range written {
-		if current, ok := h.pending[id]; ok && current.drained == w.drained {
-			delete(h.pending, id)
+	s.saved, s.fileRead, s.fileDamaged = next, true, false
+	for id, entry := range written {
+		if current, ok := s.pending[id]; ok && current.drained == entry.drained {
+			delete(s.pending, id)
 		} else if ok {
 			current.baseSerial = next.changeSerials[id] // it came after what was written
-			h.pending[id] = current
+			s.pending[id] = current
 		}
 	}
 	for _, c := range calls {
@@ -335,16 +335,16 @@
 }
 
 // sift answers calls for ids that nobody ever listed, and puts in force those that only the other process knew.
-func (h *DrainStore) resolveUnknown() {
-	for n, c := range h.queue {
-		later := slices.ContainsFunc(h.queue[n+1:], func(o *call) bool { return o.id == c.id })
-		if c.unknownID && h.listed[c.id] {
+func (s *DrainStore) resolveUnknown() {
+	for n, c := range s.queue {
+		later := slices.ContainsFunc(s.queue[n+1:], func(other *call) bool { return other.id == c.id })
+		if c.unknownID && s.listed[c.id] {
 			if c.unknownID = false; !later {
-				h.setPending(c.id, c.drained, true)
+				s.setPending(c.id, c.drained, true)
 			}
 		}
 	}
-	h.queue = slices.DeleteFunc(h.queue, func(c *call) bool {
+	s.queue = slices.DeleteFunc(s.queue, func(c *call) bool {
 		if c.unknownID {
 			c.result <- ErrNeverListed
 		}
@@ -353,58 +353,58 @@
 }
 
 // answer says to all who wait that the disk refuses.
-func (h *DrainStore) failWaiting(err error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, c := range h.queue {
+func (s *DrainStore) failWaiting(err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, c := range s.queue {
 		c.result <- errors.Join(ErrNotSaved, err)
 	}
-	h.queue = nil
-	for id, w := range h.pending {
-		w.callerWaiting = false
-		h.pending[id] = w
+	s.queue = nil
+	for id, entry := range s.pending {
+		entry.callerWaiting = false
+		s.pending[id] = entry
 	}
 }
 
 // read takes over what the file says, if that is new. A damaged one is logged once, and what is known stays.
-func (h *DrainStore) reload() {
-	next, changed, err := h.file.load()
+func (s *DrainStore) reload() {
+	next, changed, err := s.file.load()
 	if !changed {
 		return
 	}
 	if err != nil {
-		if !h.fileDamaged {
-			h.log.Error("the file of endpoints out by hand can't be read; what was known stays", zap.Error(err))
+		if !s.fileDamaged {
+			s.log.Error("the file of endpoints out by hand can't be read; what was known stays", zap.Error(err))
 		}
-		h.fileDamaged = true
-		h.mu.Lock()
-		h.fileRead = false
-		h.mu.Unlock()
+		s.fileDamaged = true
+		s.mu.Lock()
+		s.fileRead = false
+		s.mu.Unlock()
 		return
 	}
-	h.fileDamaged = false
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.fileRead, h.saved = true, next
-	listedUnsaved := h.listedUnsaved
+	s.fileDamaged = false
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.fileRead, s.saved = true, next
+	listedUnsaved := s.listedUnsaved
 	for _, id := range append(next.listed, next.sortedDrained()...) {
-		h.addListed(id)
+		s.addListed(id)
 	}
-	h.listedUnsaved = listedUnsaved
-	for id, w := range h.pending {
-		if !w.callerWaiting && next.changeSerials[id] > w.baseSerial {
-			delete(h.pending, id) // staff have said something later, at the other process
+	s.listedUnsaved = listedUnsaved
+	for id, entry := range s.pending {
+		if !entry.callerWaiting && next.changeSerials[id] > entry.baseSerial {
+			delete(s.pending, id) // staff have said something later, at the other process
 		}
 	}
-	applyFromFile := func(id string, out bool) {
-		if _, ok := h.pending[id]; !ok {
-			h.apply(id, out)
+	applyFromFile := func(id string, drained bool) {
+		if _, ok := s.pending[id]; !ok {
+			s.apply(id, drained)
 		}
 	}
 	for _, id := range next.sortedDrained() {
 		applyFromFile(id, true)
 	}
-	for _, id := range slices.Sorted(maps.Keys(h.drained)) {
+	for _, id := range slices.Sorted(maps.Keys(s.drained)) {
 		applyFromFile(id, next.drained[id])
 	}
 }
