--- a/internal/hands/file.go
+++ b/internal/hands/file.go
@@ -1,5 +1,6 @@
-// File: the disk's side of hands. It owns the file's form, the turns that two processes take at it, and the order of
-// syncing that makes a yes outlast a power cut. A write that is torn anywhere leaves the file before it.
+// This file owns the file of operator drains on disk: its format, the locks by which two processes write it in turn, and the order
+// of writes and syncs through which a confirmed change outlasts a power cut. A write that is interrupted at any point leaves the
+// previous file.
 package hands
 
 import (
@@ -17,23 +18,25 @@
 )
 
 const (
-	lockTimeout      = 2 * time.Second      // for the other process to let go of the file; whoever calls is answered before
-	lockPollInterval = 2 * time.Millisecond // between two asks for it
+	lockTimeout      = 2 * time.Second      // wait for the other process to release the file; callers are answered earlier
+	lockPollInterval = 2 * time.Millisecond // between two tries to get the lock
 )
 
-var errBusy = errors.New("the other process writes")
+// errBusy reports that the lock was not obtained in time.
+var errBusy = errors.New("the other process holds the lock of the file")
 
-// record is what the file holds.
+// record is the content of the file.
 type record struct {
 	drained       map[string]bool
-	listed        []string
-	serial        uint64            // of this write; 0 for a build that wrote none
-	changeSerials map[string]uint64 // the write that holds the latest call for an id
+	listed        []string          // ids that were ever listed, first listed first
+	serial        uint64            // number of this write; 0 if written by a build without serials
+	changeSerials map[string]uint64 // by id, serial of the write that saved its latest change
 }
 
+// sortedDrained returns the drained ids, sorted.
 func (r record) sortedDrained() []string { return slices.Sorted(maps.Keys(r.drained)) }
 
-// next is a copy to be changed and written.
+// next returns a copy with the next serial, to be changed and written. It has no listed ids yet.
 func (r record) next() record {
 	n := record{drained: map[string]bool{}, serial: r.serial + 1, changeSerials: map[string]uint64{}}
 	maps.Copy(n.drained, r.drained)
@@ -41,6 +44,7 @@
 	return n
 }
 
+// setDrain records a drain or undrain under the record's serial.
 func (r *record) setDrain(id string, drained bool) {
 	r.changeSerials[id] = r.serial
 	if drained {
@@ -50,23 +54,24 @@
 	}
 }
 
-// forget bounds what is said by the ids that are known.
+// pruneChangeSerials removes the serials of ids that are no longer in listed, which bounds their number.
 func (r *record) pruneChangeSerials(listed map[string]bool) {
 	maps.DeleteFunc(r.changeSerials, func(id string, _ uint64) bool { return !listed[id] })
 }
 
-// file is used by one goroutine.
+// file is the file on disk. It is used by one goroutine.
 type file struct {
 	path     string
-	lastInfo os.FileInfo
-	replace  func(path string, text []byte) error // a seam for tests
+	lastInfo os.FileInfo                          // as of the last read or write, to detect a change
+	replace  func(path string, text []byte) error // replaceable in tests
 }
 
+// newFile returns the file of operator drains in dir.
 func newFile(dir string) *file {
 	return &file{path: filepath.Join(dir, "lynxjunction.hands.json"), replace: replace}
 }
 
-// load returns what the file holds if it has changed since the last look. No file at all is no news.
+// load reads the file if it has changed since it was last read or written; changed is false otherwise, and if there is no file.
 func (f *file) load() (r record, changed bool, err error) {
 	info, err := os.Stat(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -86,6 +91,7 @@
 	return r, true, err
 }
 
+// parseRecord decodes the content of the file. The members serial and said may be missing: older builds don't write them.
 func parseRecord(text []byte) (r record, err error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -94,12 +100,12 @@
 	ids := func(name string) (list []string, err error) {
 		from := v.Get(name)
 		if from == nil || from.Type() != fastjson.TypeArray {
-			return nil, fmt.Errorf("no list %q", name)
+			return nil, fmt.Errorf("key %q: expected a list of ids", name)
 		}
 		for _, id := range from.GetArray() {
 			text, err := id.StringBytes()
 			if err != nil || len(text) == 0 {
-				return nil, fmt.Errorf("%q holds what is no id", name)
+				return nil, fmt.Errorf("key %q: expected non-empty strings as ids", name)
 			}
 			list = append(list, string(text))
 		}
@@ -122,6 +128,7 @@
 	return r, nil
 }
 
+// encode returns the record as the file's content.
 func (r record) encode() []byte {
 	var a fastjson.Arena
 	list := func(ids []string) *fastjson.Value {
@@ -142,7 +149,7 @@
 	return v.MarshalTo(nil)
 }
 
-// save is done once the record is on the disk.
+// save writes the record; it returns nil once the record is on disk.
 func (f *file) save(r record) error {
 	err := f.replace(f.path, r.encode())
 	if err == nil {
@@ -151,9 +158,10 @@
 	return err
 }
 
-// replace puts a file in another's place whole: who reads meanwhile, or after a power cut in the middle, sees the one before.
+// replace replaces the file at path atomically: a reader sees the previous file until the new one is complete, also after a power
+// cut during the write.
 func replace(path string, text []byte) error {
-	tempPath := path + ".next" // whoever writes holds the lock
+	tempPath := path + ".next" // a fixed name is enough: the writer holds the lock
 	err := func() error {
 		f, err := os.OpenFile(tempPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 		if err != nil {
@@ -176,9 +184,9 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// locked keeps the other process's writing out for as long as f takes, and says how long that was. Who waits holds the
-// turn, so that whoever has just written can't come again before: two processes write by turns. A build that knows no
-// turns is kept out by the lock.
+// withLock runs do while the other process is kept from writing, and returns the time that do took. There are two locks: a process
+// that waits for the write lock (.lock) holds the turn lock (.turn), so that the process that has just written can't overtake it
+// and two processes write in turn. Builds without the turn lock are still excluded by the write lock.
 func (f *file) withLock(do func() error) (writeTime time.Duration, err error) {
 	deadline := time.Now().Add(lockTimeout)
 	turnLock, err := acquireLock(f.path+".turn", deadline)
@@ -190,12 +198,14 @@
 	if err != nil {
 		return 0, err
 	}
-	defer lock.Close() // lets go of the lock
+	defer lock.Close() // closing the file releases the lock
 	started := time.Now()
 	err = do()
 	return time.Since(started), err
 }
 
+// acquireLock opens the file at path and locks it exclusively (flock). It returns errBusy if another process holds the lock until
+// the deadline.
 func acquireLock(path string, deadline time.Time) (*os.File, error) {
 	lock, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/hands/hands.go
+++ b/internal/hands/hands.go
@@ -1,8 +1,9 @@
-// Package hands owns what staff said of endpoints: which are out by hand, which ids were ever listed, and the small file in
-// which both outlast the process. It must never decide where an exchange goes: it tells its user, who tells the module; nor
-// may it say that a ban is kept when it is not, nor hold a lock that a figure or a health check needs while it waits for a
-// disk. One goroutine, Run, does all that the disk is asked for; calls that come while it writes go into its next write
-// together (group commit: DeWitt et al., Implementation Techniques for Main Memory Database Systems, SIGMOD 1984, section 4).
+// Package hands stores operator drains: which endpoints operators have taken out of service by hand, which endpoint ids were
+// ever listed, and the small file in which both outlast the process. It does not decide where an exchange goes: it reports
+// changes to its user, which passes them to the module. Invariants: it never confirms a drain as saved that is not on disk, and
+// it never waits for the disk while it holds a lock that the counters or a health check need. One goroutine, Run, does all disk
+// access; calls that arrive during a write are saved together by the next one (group commit: DeWitt et al., Implementation
+// Techniques for Main Memory Database Systems, SIGMOD 1984, section 4).
 package hands
 
 import (
@@ -19,63 +20,66 @@
 )
 
 const (
-	MaxFileBytes       = 1 << 20                // bytes of the file
-	maxListed          = 4096                   // ids once listed that are known
-	pollInterval       = 25 * time.Millisecond  // between two looks at what the other process of an upgrade wrote
-	minSaveInterval    = 250 * time.Millisecond // between two savings of listed ids, at the least
-	saveIntervalFactor = 10                     // a saving of listed ids waits for so many times what the last write took
-	retryInterval      = 250 * time.Millisecond // after a write that failed
+	MaxFileBytes       = 1 << 20                // upper bound for the size of the file
+	maxListed          = 4096                   // ids that were once listed and are remembered
+	pollInterval       = 25 * time.Millisecond  // between two checks for a write by the other process of an upgrade
+	minSaveInterval    = 250 * time.Millisecond // between two writes for listed ids alone
+	saveIntervalFactor = 10                     // such a write is delayed by this multiple of the duration of the last write
+	retryInterval      = 250 * time.Millisecond // after a failed write
 )
 
+// Errors of SetDrain. Their texts are part of the answers to operators.
 var (
 	ErrNeverListed = errors.New("no such endpoint was ever listed")
 	ErrNotSaved    = errors.New("the file could not be written")
 	ErrNotSavedYet = errors.New("the file is not written yet: call again")
 )
 
-// Hands are read and changed from any goroutine.
+// DrainStore holds the operator drains. Its methods may be called from any goroutine.
 type DrainStore struct {
-	OnChange func(id string, out bool) // of each change in force, in order; must not wait. Set before Run
+	// OnChange is called for each change that takes effect, in order. It must not block, and must be set before Run.
+	OnChange func(id string, out bool)
 	log      *zap.Logger
-	file     *file // nil for memory only
+	file     *file // nil if nothing is stored on disk
 	wake     chan struct{}
 
-	mu            sync.Mutex // held for memory only, never over the disk
+	mu            sync.Mutex // never held during disk access
 	drained       map[string]bool
-	saved         record
-	pending       map[string]pendingEntry // calls in force here and not yet in the file
-	queue         []*call
-	listed        map[string]bool
-	listedOrder   []string // of ever, the first listed first
-	listedUnsaved bool     // ids listed since the last write
-	fileRead      bool     // the file was there and could be read
+	saved         record                  // content of the file, as last read or written
+	pending       map[string]pendingEntry // changes in force in this process that are not in the file yet
+	queue         []*call                 // calls whose answer waits for the file
+	listed        map[string]bool         // ids that were ever listed
+	listedOrder   []string                // ids of listed, first listed first
+	listedUnsaved bool                    // ids were listed since the last write
+	fileRead      bool                    // the file exists and could be read
 
 	newlyListedMu sync.Mutex
-	newlyListed   []string // listed, and not folded into ever yet
+	newlyListed   []string // ids not merged into listed yet
 
-	// Of Run alone.
-	fileDamaged     bool
-	saveAt, retryAt time.Time
+	// Used by Run's goroutine only.
+	fileDamaged bool      // the file could not be read, and that is logged
+	saveAt      time.Time // earliest write for listed ids alone
+	retryAt     time.Time // earliest write of pending changes after a failed one
 }
 
-// wish is the latest call by hand for one id.
+// pendingEntry is the latest change of one id that is not in the file yet.
 type pendingEntry struct {
 	drained       bool
-	baseSerial    uint64 // the file's word on the id when the call came
-	callerWaiting bool   // its caller still waits; otherwise a later word in the file ends it
-	receivedAt    time.Duration
+	baseSerial    uint64        // the file's serial of the id's latest change when this one arrived
+	callerWaiting bool          // the caller still waits for its answer; otherwise a later change in the file replaces this one
+	receivedAt    time.Duration // on the machine's monotonic clock
 }
 
-// Wish is a call by hand that is in force and not in the file, as processes of one sidecar tell it each other: a disk that fails must not
-// keep it from one of them.
+// PendingChange is a drain or undrain that is in force and not in the file, as the processes of one sidecar send it to each other:
+// a failing disk must not keep it from one of them.
 type PendingChange struct {
 	ID         string
 	Drained    bool
-	BaseSerial uint64        // the file's word on the id when the call came
-	ReceivedAt time.Duration // when it came, on the machine's monotonic clock
+	BaseSerial uint64        // the file's serial of the id's latest change when this one arrived
+	ReceivedAt time.Duration // on the machine's monotonic clock
 }
 
-// Wishes are the calls in force that the file lacks, by id.
+// Pending returns the changes in force that the file lacks, sorted by id.
 func (s *DrainStore) Pending() (changes []PendingChange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +90,7 @@
 	return changes
 }
 
-// Hear puts in force what another process was told by hand, unless a later call is known here or stands in the file.
+// MergePending applies the pending changes of another process, except where a later change is pending here or is in the file.
 func (s *DrainStore) MergePending(changes []PendingChange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,14 +105,15 @@
 	}
 }
 
+// call is a call of SetDrain that waits for the file.
 type call struct {
 	id        string
 	drained   bool
-	unknownID bool // not known here when it came; the other process may have met it
+	unknownID bool // the id was not known here when the call arrived; the other process may have seen it listed
 	result    chan error
 }
 
-// New reads what the process before this one left in dir; "" keeps all in memory.
+// New returns a store that uses the file in dir and starts from its content. If dir is "", the store is kept in memory only.
 func New(dir string, log *zap.Logger) *DrainStore {
 	s := &DrainStore{OnChange: func(string, bool) {}, log: log, drained: map[string]bool{}, pending: map[string]pendingEntry{}, listed: map[string]bool{},
 		wake: make(chan struct{}, 1)}
@@ -119,7 +124,7 @@
 	return s
 }
 
-// Listed remembers an id. It never waits for whoever waits for the disk.
+// RecordListed remembers an id as listed. It uses a lock of its own, so that it never waits for the users of mu.
 func (s *DrainStore) RecordListed(id string) {
 	s.newlyListedMu.Lock()
 	defer s.newlyListedMu.Unlock()
@@ -128,6 +133,7 @@
 	}
 }
 
+// mergeNewlyListed adds the newly listed ids to listed. The caller holds mu.
 func (s *DrainStore) mergeNewlyListed() {
 	s.newlyListedMu.Lock()
 	ids := s.newlyListed
@@ -138,7 +144,7 @@
 	}
 }
 
-// know keeps an id; beyond the bound the oldest that is not out is forgotten.
+// addListed adds an id to listed. Beyond maxListed ids, the oldest that is evictable is forgotten.
 func (s *DrainStore) addListed(id string) {
 	if s.listed[id] {
 		return
@@ -153,20 +159,20 @@
 	}
 }
 
-// idle tells whether neither a ban nor a call that the file lacks hangs on an id.
+// evictable reports whether an id is neither drained, here or in the file, nor has a pending change.
 func (s *DrainStore) evictable(id string) bool {
 	_, pending := s.pending[id]
 	return !pending && !s.drained[id] && !s.saved.drained[id]
 }
 
-// Bans are those in force, sorted.
+// Drained returns the ids of the endpoints drained by operator, sorted.
 func (s *DrainStore) Drained() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.drained))
 }
 
-// All are the bans and the ids once listed.
+// Snapshot returns the drained ids, sorted, and the listed ids, first listed first.
 func (s *DrainStore) Snapshot() (drained, listed []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +180,8 @@
 	return slices.Sorted(maps.Keys(s.drained)), slices.Clone(s.listedOrder)
 }
 
-// Inherit takes over what the process before this one says, beside what the file says: either may be lost.
+// Restore takes over the state handed over by the predecessor process, in addition to that of the file: either may be missing. The
+// drains handed over are used only if there is no readable file.
 func (s *DrainStore) Restore(drained, listed []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,9 +196,9 @@
 	}
 }
 
-// Change takes a call by hand: in force here at once if the id is known, then kept. nil says that it is on the disk. On
-// ErrNotKept and ErrNotYet it is in force, might not outlast the process, and is tried again until the file has it or has a
-// later word on the id. ErrNotYet comes when ctx ends.
+// SetDrain drains or undrains an endpoint. If the id is known, the change takes effect at once and is then saved. The result nil
+// means that it is on disk. After ErrNotSaved or ErrNotSavedYet it is in force but might not outlast the process; saving is
+// retried until the file holds it or a later change of the id. ErrNotSavedYet is returned when ctx ends.
 func (s *DrainStore) SetDrain(ctx context.Context, id string, drained bool) error {
 	s.mu.Lock()
 	s.mergeNewlyListed()
@@ -234,12 +241,13 @@
 	return ErrNotSavedYet
 }
 
-// wish puts a call in force; the file follows.
+// setPending applies a change and records it as pending, to be saved by Run.
 func (s *DrainStore) setPending(id string, drained, callerWaiting bool) {
 	s.pending[id] = pendingEntry{drained: drained, baseSerial: s.saved.changeSerials[id], callerWaiting: callerWaiting, receivedAt: clock.Monotonic()}
 	s.apply(id, drained)
 }
 
+// apply makes a change effective in memory and reports it through OnChange.
 func (s *DrainStore) apply(id string, drained bool) {
 	if s.drained[id] == drained {
 		return
@@ -252,7 +260,7 @@
 	s.OnChange(id, drained)
 }
 
-// Run looks after the file until ctx ends, and then writes once more what is not in it.
+// Run keeps the store and the file in step until ctx ends, and then tries once more to save what is not in the file.
 func (s *DrainStore) Run(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -269,7 +277,7 @@
 	}
 }
 
-// Look is one round of Run: what the file says holds here, and what was said here goes into the file.
+// Sync is one iteration of Run: it applies what another process wrote to the file, and saves what is pending here.
 func (s *DrainStore) Sync(now time.Time) {
 	if s.file == nil {
 		return
@@ -288,7 +296,7 @@
 		s.saveAt = now.Add(max(minSaveInterval, saveIntervalFactor*writeTime))
 	}
 	if errors.Is(err, errBusy) {
-		return // the other process writes: whoever calls waits for as long as it may
+		return // the other process is writing: callers keep waiting until their contexts end
 	}
 	if err != nil {
 		s.retryAt = now.Add(retryInterval)
@@ -296,7 +304,7 @@
 	}
 }
 
-// commit writes all that was said until now. The other process is kept out meanwhile.
+// commit saves all changes up to now. The caller holds the file's lock, which excludes the other process.
 func (s *DrainStore) commit() error {
 	s.reload()
 	s.mu.Lock()
@@ -324,7 +332,7 @@
 		if current, ok := s.pending[id]; ok && current.drained == entry.drained {
 			delete(s.pending, id)
 		} else if ok {
-			current.baseSerial = next.changeSerials[id] // it came after what was written
+			current.baseSerial = next.changeSerials[id] // it arrived during the write and follows the change just written
 			s.pending[id] = current
 		}
 	}
@@ -334,7 +342,8 @@
 	return nil
 }
 
-// sift answers calls for ids that nobody ever listed, and puts in force those that only the other process knew.
+// resolveUnknown applies calls whose ids are known by now, because the other process had them in the file, and answers those whose
+// ids were never listed. The caller holds mu and has just read the file.
 func (s *DrainStore) resolveUnknown() {
 	for n, c := range s.queue {
 		later := slices.ContainsFunc(s.queue[n+1:], func(other *call) bool { return other.id == c.id })
@@ -352,7 +361,7 @@
 	})
 }
 
-// answer says to all who wait that the disk refuses.
+// failWaiting answers all waiting calls with ErrNotSaved and the cause err. Their changes stay pending.
 func (s *DrainStore) failWaiting(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -366,7 +375,7 @@
 	}
 }
 
-// read takes over what the file says, if that is new. A damaged one is logged once, and what is known stays.
+// reload applies the content of the file if it has changed. A damaged file is logged once and changes nothing.
 func (s *DrainStore) reload() {
 	next, changed, err := s.file.load()
 	if !changed {
@@ -374,7 +383,7 @@
 	}
 	if err != nil {
 		if !s.fileDamaged {
-			s.log.Error("the file of endpoints out by hand can't be read; what was known stays", zap.Error(err))
+			s.log.Error("file of operator drains can't be read; keeping the drains known so far", zap.Error(err))
 		}
 		s.fileDamaged = true
 		s.mu.Lock()
@@ -393,7 +402,7 @@
 	s.listedUnsaved = listedUnsaved
 	for id, entry := range s.pending {
 		if !entry.callerWaiting && next.changeSerials[id] > entry.baseSerial {
-			delete(s.pending, id) // staff have said something later, at the other process
+			delete(s.pending, id) // an operator has changed it later, through the other process
 		}
 	}
 	applyFromFile := func(id string, drained bool) {
--- a/internal/hands/hands_test.go
+++ b/internal/hands/hands_test.go
@@ -17,11 +17,11 @@
 	"go.uber.org/zap"
 )
 
-// disk is a seam's disk: it takes its time on the test's clock, so that no verdict hangs on the machine's.
+// disk replaces the file's write function. Writes take their time on the test's clock, so that no result depends on the machine's disk.
 type disk struct {
 	writeTime time.Duration
 	writes    atomic.Int64
-	writeErr  atomic.Pointer[error]
+	writeErr  atomic.Pointer[error] // result of writes if not nil; nothing is written then
 }
 
 func (d *disk) replace(path string, text []byte) error {
@@ -33,7 +33,7 @@
 	return replace(path, text)
 }
 
-// open is one process's hands on a disk, running until the test ends.
+// startStore starts one process's store on a disk; it runs until the test ends.
 func startStore(t *testing.T, dir string, d *disk, listed ...string) *DrainStore {
 	h := New(dir, zap.NewNop())
 	h.file.replace = d.replace
@@ -47,20 +47,21 @@
 	return h
 }
 
-// change is a call with the console's patience.
+// setDrain calls SetDrain with the console's timeout.
 func setDrain(h *DrainStore, id string, drained bool) error {
 	ctx, done := context.WithTimeout(context.Background(), 450*time.Millisecond)
 	defer done()
 	return h.SetDrain(ctx, id, drained)
 }
 
-// Four calls at once on a disk of 75 ms were "not kept" when each wrote the file under a lock tried for 300 ms. Each is
-// answered within its time, a yes is on the disk, and who is told to call again gets a yes in the end.
+// Four concurrent calls on a disk with writes of 75 ms were answered as not saved when each wrote the file under a lock that was
+// tried for 300 ms. Each call must be answered within its timeout, a confirmed drain must be on disk, and a repeated call must
+// succeed in the end.
 func TestConcurrentCallsOnASlowDiskShareWrites(t *testing.T) {
 	for _, c := range []struct {
 		takes  time.Duration
-		writes int64 // at most, with the listed ids' own
-		again  bool  // some are told to call again
+		writes int64 // upper limit, including writes for listed ids
+		again  bool  // some calls are answered ErrNotSavedYet
 	}{{0, 45, false}, {75 * time.Millisecond, 12, false}, {300 * time.Millisecond, 12, true}} {
 		t.Run(c.takes.String(), func(t *testing.T) {
 			dir := t.TempDir()
@@ -71,7 +72,7 @@
 					ids = append(ids, fmt.Sprint("s", n))
 				}
 				stores := []*DrainStore{startStore(t, dir, d, ids...), startStore(t, dir, d, ids...)}
-				time.Sleep(3 * time.Second) // listed ids are saved
+				time.Sleep(3 * time.Second) // until the listed ids are saved
 				d.writes.Store(0)
 				var calls sync.WaitGroup
 				var retries atomic.Int64
@@ -86,12 +87,12 @@
 						}
 						now, err := parseRecord(readFile(t, dir))
 						assert.NoError(t, err)
-						assert.True(t, now.drained[ids[n/2]], "a yes is in the file")
+						assert.True(t, now.drained[ids[n/2]], "a confirmed drain is in the file")
 					})
 				}
 				calls.Wait()
 				assert.Equal(t, c.again, retries.Load() > 0)
-				assert.LessOrEqual(t, d.writes.Load(), c.writes, "who waits goes into one write together")
+				assert.LessOrEqual(t, d.writes.Load(), c.writes, "waiting calls share one write")
 				time.Sleep(time.Second)
 				assert.Len(t, stores[0].Drained(), 20)
 				assert.Equal(t, stores[0].Drained(), stores[1].Drained())
@@ -100,13 +101,15 @@
 	}
 }
 
+// readFile returns the content of the file of operator drains.
 func readFile(t *testing.T, dir string) []byte {
 	text, err := os.ReadFile(filepath.Join(dir, "lynxjunction.hands.json"))
 	assert.NoError(t, err)
 	return text
 }
 
-// A disk that hangs holds up no figure; one that is full or fails now and then gets no yes, and has all in the end.
+// A hanging disk must not delay readers of the store. On a full or failing disk no drain is confirmed, and it is saved once the disk
+// works again.
 func TestFailingDiskDelaysNoReaderAndIsRetried(t *testing.T) {
 	full := error(syscall.ENOSPC)
 	for _, c := range []struct {
@@ -124,21 +127,21 @@
 				assert.ErrorIs(t, setDrain(h, "a", true), c.want)
 				assert.LessOrEqual(t, time.Since(began), 450*time.Millisecond)
 				at := time.Now()
-				assert.Equal(t, []string{"a"}, h.Drained(), "in force all the same")
+				assert.Equal(t, []string{"a"}, h.Drained(), "in force although it is not saved")
 				h.RecordListed("c")
 				out, ever := h.Snapshot()
 				assert.Equal(t, []any{1, 3}, []any{len(out), len(ever)})
-				assert.Zero(t, time.Since(at), "no figure waits for the disk")
+				assert.Zero(t, time.Since(at), "readers do not wait for the disk")
 				assert.NoFileExists(t, filepath.Join(dir, "lynxjunction.hands.json"))
 				c.disk.writeErr.Store(nil)
 				time.Sleep(3 * time.Minute)
-				assert.Equal(t, []string{"a"}, New(dir, zap.NewNop()).Drained(), "written once the disk can")
+				assert.Equal(t, []string{"a"}, New(dir, zap.NewNop()).Drained(), "saved once the disk works")
 			})
 		})
 	}
 }
 
-// What was answered "not kept" must not undo, when it is written at last, what staff said later at the other process.
+// A change that was answered as not saved must not, when it is written at last, undo a later change made through the other process.
 func TestLateWriteDoesNotUndoALaterChange(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -148,7 +151,7 @@
 		full := error(syscall.ENOSPC)
 		failing.writeErr.Store(&full)
 		assert.ErrorIs(t, setDrain(first, "a", true), ErrNotSaved)
-		require.NoError(t, setDrain(second, "a", false), "nothing changes in what is out; it is a word all the same")
+		require.NoError(t, setDrain(second, "a", false), "an undrain that changes nothing still counts as the latest change")
 		time.Sleep(time.Second)
 		failing.writeErr.Store(nil)
 		time.Sleep(time.Second)
@@ -157,7 +160,7 @@
 	})
 }
 
-// Bans and ids once listed outlast the process; what another process writes holds here; a spoilt file changes nothing.
+// Drains and listed ids outlast the process, changes written by another process apply here, and a damaged file changes nothing.
 func TestDrainsOutlastTheProcess(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -170,25 +173,25 @@
 		assert.Equal(t, []string{"a"}, second.Drained())
 		require.NoError(t, setDrain(first, "b", true))
 		time.Sleep(2 * pollInterval)
-		require.NoError(t, setDrain(second, "a", false), "listed by the process before")
+		require.NoError(t, setDrain(second, "a", false), "listed by the previous process")
 		time.Sleep(2 * pollInterval)
-		assert.Equal(t, []string{"b"}, first.Drained(), "a single call ends it, at either")
+		assert.Equal(t, []string{"b"}, first.Drained(), "one call through either process ends a drain")
 		assert.Equal(t, []string{"btrue", "afalse"}, reported)
 		first.RecordListed("late")
 		require.NoError(t, setDrain(first, "late", true))
-		assert.NoError(t, setDrain(second, "late", false), "only the other process had met it")
+		assert.NoError(t, setDrain(second, "late", false), "only the other process had seen it listed")
 		time.Sleep(2 * pollInterval)
 		for _, damaged := range []string{"", `{"out":["b"`, `{"out":"b","ever":[]}`, `{"out":[7],"ever":[]}`} {
 			require.NoError(t, os.WriteFile(first.file.path, []byte(damaged), 0o600))
 			time.Sleep(2 * pollInterval)
 			assert.Equal(t, []string{"b"}, first.Drained(), damaged)
 		}
-		require.NoError(t, setDrain(first, "a", true), "and the next call mends it")
+		require.NoError(t, setDrain(first, "a", true), "the next call rewrites the damaged file")
 		assert.Equal(t, []string{"a", "b"}, New(dir, zap.NewNop()).Drained())
 	})
 }
 
-// A write that ends halfway, as a power cut ends it, leaves the file before it; a build of before reads what we write.
+// A write that is interrupted, as by a power cut, leaves the previous file. The format is compatible with older builds.
 func TestTornWriteLeavesThePreviousFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "lynxjunction.hands.json")
@@ -201,7 +204,7 @@
 	assert.Regexp(t, `^\{"out":\["a","b"\],"ever":\["a","b"\],"serial":1,"said":\{"b":1\}\}$`, string(readFile(t, dir)))
 }
 
-// Ids are ever new: the oldest are forgotten, but never one that is out.
+// Endpoint ids keep changing: the oldest listed ones are forgotten, but never one that is drained.
 func TestListedIDsAreBounded(t *testing.T) {
 	h := New("", zap.NewNop())
 	h.RecordListed("old")
@@ -214,8 +217,8 @@
 	assert.NoError(t, h.SetDrain(t.Context(), "old", false))
 }
 
-// While the disk fails, the file that two processes share can't carry what staff said: each tells the other its calls that are not kept.
-// The later call wins, whichever process heard it, and what the file says later than a call ends it.
+// While the disk fails, the file can't pass changes between two processes, so that each sends its pending changes to the other. The
+// later change wins, whichever process received it, and a later change in the file replaces a pending one.
 func TestPendingChangesReachTheOtherProcessWhileTheDiskFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dir, d := t.TempDir(), &disk{}
@@ -231,7 +234,7 @@
 		time.Sleep(time.Millisecond)
 		assert.ErrorIs(t, setDrain(next, "e1", false), ErrNotSaved)
 		next.MergePending(earlier)
-		assert.Equal(t, []string{"e2"}, next.Drained(), "what is told again takes nothing back")
+		assert.Equal(t, []string{"e2"}, next.Drained(), "a repeated message does not undo the later change")
 		old.MergePending(next.Pending())
 		assert.Equal(t, []string{"e2"}, old.Drained())
 		d.writeErr.Store(nil)
@@ -241,6 +244,6 @@
 		assert.NoError(t, setDrain(old, "e2", false))
 		time.Sleep(2 * pollInterval)
 		next.MergePending(earlier)
-		assert.Empty(t, next.Drained(), "the file has a later word")
+		assert.Empty(t, next.Drained(), "the file has a later change")
 	})
 }
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -1,6 +1,7 @@
-// Console: where operators call. This file owns its listener, its callers' connections and the names that staff read and
-// say: served, refused, failed, attempts, maint, ready. They are mapped to ours here only. It must never wait for the loop
-// without a bound, for the clients' door at all, or for a caller who says nothing; nor say yes to what is not in force.
+// This file owns the operators' console: its listener, its connections and the names that operators read and write (served,
+// refused, failed, attempts, maint, ready), which are mapped to the code's terms here only. Invariants: the console never waits
+// for the event loop without a bound, for the clients' listener at all, or for a silent caller, and it never confirms a change
+// that is not in force.
 package sidecar
 
 import (
@@ -20,31 +21,33 @@
 )
 
 const (
-	maxCallers         = 24                     // connections at once; descriptors are set aside for them
-	callTimeout        = 3 * time.Second        // for a caller to say all
-	confirmTimeout     = 450 * time.Millisecond // for the loop to confirm: an answer is due within 1 s
-	answerTimeout      = time.Second
-	maxEndpointIDBytes = 200 // bytes of an id
+	maxCallers         = 24                     // concurrent connections; descriptors are reserved for them
+	callTimeout        = 3 * time.Second        // for reading a request and for writing its answer
+	confirmTimeout     = 450 * time.Millisecond // for the file and the event loop to confirm a change: an answer is due within 1 s
+	answerTimeout      = time.Second            // within which a call must be answered
+	maxEndpointIDBytes = 200
 )
 
-// console answers staff.
+// console answers the operators' calls.
 type console struct {
 	server  *clientServer
 	drains  *hands.DrainStore
 	log     *zap.Logger
 	mu      sync.Mutex
-	callers []*caller // the oldest first
+	callers []*caller // open connections, oldest first; guarded by mu
 }
 
-// caller is one connection.
+// caller is one connection to the console.
 type caller struct {
 	net.Conn
 	console         *console
-	requestComplete bool // its call has come whole
+	requestComplete bool // its request head has been received; guarded by console.mu
 }
 
+// callerKey is the context key of a request's caller.
 type callerKey struct{}
 
+// Close removes the connection from the console and closes it.
 func (c *caller) Close() error {
 	c.console.mu.Lock()
 	for n, other := range c.console.callers {
@@ -57,12 +60,13 @@
 	return c.Conn.Close()
 }
 
-// counter is the listener: the oldest silent caller gives way to a new one.
+// callerListener is the console's listener. At the limit of connections, the oldest silent one is closed for a new one.
 type callerListener struct {
 	net.Listener
 	console *console
 }
 
+// Accept accepts the next connection and registers it as a caller.
 func (l *callerListener) Accept() (net.Conn, error) {
 	conn, err := acceptUntilClosed(l.Listener, l.console.server.counters, l.console.log)
 	if err != nil {
@@ -71,6 +75,7 @@
 	return l.console.addCaller(conn), nil
 }
 
+// addCaller registers a connection. If there are maxCallers, it closes the oldest one without a complete request, or else the oldest.
 func (s *console) addCaller(conn net.Conn) *caller {
 	c := &caller{Conn: conn, console: s}
 	s.mu.Lock()
@@ -92,9 +97,9 @@
 	return c
 }
 
-// httpServer takes one call a connection.
+// httpServer returns the console's HTTP server; it answers one call on each connection.
 func (s *console) httpServer() *http.Server {
-	errorLog, _ := zap.NewStdLogAt(s.log, zap.DebugLevel) // silent callers are no news
+	errorLog, _ := zap.NewStdLogAt(s.log, zap.DebugLevel) // time-outs of silent callers are not worth more than the debug level
 	server := &http.Server{
 		Handler: s.routes(), ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeadBytes, ErrorLog: errorLog,
 		DisableGeneralOptionsHandler: true,
@@ -104,13 +109,14 @@
 	return server
 }
 
+// serve accepts calls from ln until server is closed.
 func (s *console) serve(server *http.Server, ln net.Listener) {
 	if err := server.Serve(&callerListener{ln, s}); !errors.Is(err, http.ErrServerClosed) {
-		s.log.Error("the console ended", zap.Error(err))
+		s.log.Error("console stopped serving after an error", zap.Error(err))
 	}
 }
 
-// paths are matched as written: net/http's own table would send a caller with a double slash elsewhere.
+// routes returns the handler of all calls. Paths are matched as written: http.ServeMux would redirect one with a double slash.
 func (s *console) routes() http.Handler {
 	type handler = func(w http.ResponseWriter, r *http.Request)
 	simple := map[string]handler{"/healthcheck": s.health, "/stats": s.stats}
@@ -140,7 +146,7 @@
 	})
 }
 
-// health says yes while this process can serve: its door is open, a list is there, and it is not ending.
+// health answers 200 while this process can serve: its listener is open, it has an endpoint list, and it is not shutting down.
 func (s *console) health(w http.ResponseWriter, _ *http.Request) {
 	if !s.server.servesAlone() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
@@ -149,7 +155,7 @@
 	}
 }
 
-// byHand takes an endpoint out or puts it back; 200 once that is in force and kept.
+// setDrain drains or undrains an endpoint. It answers 200 once the change is in force and saved.
 func (s *console) setDrain(w http.ResponseWriter, id string, drained bool) {
 	if id == "" || len(id) > maxEndpointIDBytes || strings.ContainsFunc(id, func(c rune) bool { return c <= ' ' || c == '/' || c == 0x7f || c == 0xfffd }) {
 		http.Error(w, "not an id", http.StatusBadRequest)
@@ -162,7 +168,7 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	case err != nil:
-		s.log.Error("a call by hand is not kept for the next process", zap.String("endpoint", id), zap.Error(err))
+		s.log.Error("operator drain or undrain is in force but not saved for the next process", zap.String("endpoint", id), zap.Error(err))
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "holds in this process only, so far: "+err.Error(), http.StatusServiceUnavailable)
 		return
@@ -171,10 +177,10 @@
 		http.Error(w, "not confirmed in time: call again", http.StatusServiceUnavailable)
 		return
 	}
-	s.log.Info("by hand", zap.String("endpoint", id), zap.Bool("out", drained))
+	s.log.Info("endpoint drained or undrained by operator", zap.String("endpoint", id), zap.Bool("out", drained))
 }
 
-// stats are the figures in staff's words.
+// stats answers with the counters, under the names that operators know.
 func (s *console) stats(w http.ResponseWriter, _ *http.Request) {
 	var a fastjson.Arena
 	number := func(n int64) *fastjson.Value { return a.NewNumberInt(int(n)) }
@@ -197,7 +203,7 @@
 	w.Write(all.MarshalTo(nil))
 }
 
-// confirmed tells whether the loop has come past all that it was told until now.
+// waitUntilHandled reports whether the loop has handled all events posted before the call, within the time of ctx.
 func (l *loop) waitUntilHandled(ctx context.Context) bool {
 	done := make(chan struct{})
 	l.postUrgent(loopCall(func(*loop) { close(done) }))
@@ -209,12 +215,12 @@
 	}
 }
 
-// asked is an event that only calls.
+// loopCall is an event that runs a function in the loop.
 type loopCall func(l *loop)
 
 func (f loopCall) handle(l *loop) { f(l) }
 
-// said is a call by hand on its way to the module.
+// operatorDrainChange is the event of an endpoint drained or undrained by operator; it forwards the change to the module.
 type operatorDrainChange struct {
 	id      logic.EndpointID
 	drained bool
@@ -227,6 +233,6 @@
 	} else {
 		l.module.Undrain(e.id)
 	}
-	l.publishedAt = 0 // whoever was told yes may ask for the figures at once
+	l.publishedAt = 0 // published at once: the operator may read the counters right after the confirmation
 	l.publish()
 }
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap"
 )
 
-// desk is a sidecar's console on loopback.
+// startConsole serves the sidecar's console on loopback and returns its address.
 func (r *testSidecar) startConsole() string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(r, err)
@@ -29,7 +29,7 @@
 	return ln.Addr().String()
 }
 
-// call makes one call and returns status and body; 0 is no answer.
+// callConsole makes one call and returns status and body; the status is 0 if there was no answer.
 func callConsole(t assert.TestingT, consoleAddr, method, path string) (int, string) {
 	c, err := net.Dial("tcp", consoleAddr)
 	if !assert.NoError(t, err) {
@@ -45,7 +45,8 @@
 	return got.StatusCode, body
 }
 
-// insist calls as staff do who are told to call again: how fast the disk is decides no verdict.
+// callUntilSaved repeats a call for as long as its answer says to call again, as operators do, so that no result depends on the
+// speed of the disk.
 func callUntilSaved(t *testing.T, consoleAddr, method, path string) (status int, body string) {
 	assert.Eventually(t, func() bool {
 		status, body = callConsole(t, consoleAddr, method, path)
@@ -54,10 +55,12 @@
 	return status, body
 }
 
+// withConsole configures a console and a state directory.
 func withConsole(dir string) func(*Config) {
 	return func(s *Config) { s.Console, s.stateDir = "127.0.0.1:0", dir }
 }
 
+// consoleStats returns the answer to /stats.
 func consoleStats(t *testing.T, consoleAddr string) *fastjson.Value {
 	status, body := callConsole(t, consoleAddr, "GET", "/stats")
 	require.Equal(t, 200, status)
@@ -86,7 +89,7 @@
 	end := time.Now()
 	r.front.shutdownBy.Store(&end)
 	status, _ := callConsole(t, consoleAddr, "GET", "/healthcheck")
-	assert.Equal(t, 503, status, "nobody should be sent to a process that ends")
+	assert.Equal(t, 503, status, "a process that is shutting down must not be sent requests")
 }
 
 func TestHealthWithoutAList(t *testing.T) {
@@ -95,7 +98,7 @@
 	assert.Equal(t, 503, status)
 }
 
-// Silent callers and half calls, many at once, delay nobody: the oldest gives way.
+// Many connections without a request or with an incomplete one must not delay a call: the oldest are closed for new ones.
 func TestSilentConsoleConnectionsDelayNoCall(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
 	consoleAddr := r.startConsole()
@@ -117,7 +120,7 @@
 	all.Wait()
 }
 
-// Each way out counts once, under its class, and what is no request of ours spoils no class's figures.
+// Each exchange is counted once, under its class and by its outcome, and invalid requests change no class's counters.
 func TestStatsAgreeWithTheStubEndpoint(t *testing.T) {
 	release, open := make(chan bool), make(chan bool, 1)
 	s := newStubEndpoint(t, func(c net.Conn, q *http.Request) bool {
@@ -137,13 +140,13 @@
 	for n := range 7 {
 		assert.Equal(t, 200, r.status(requestText(fmt.Sprint("look", n), "GET", "look", "")))
 	}
-	assert.Equal(t, 200, r.status(requestText("typed", "POST", "look", none)), "its class, though it is taken for single-use")
+	assert.Equal(t, 200, r.status(requestText("typed", "POST", "look", none)), "counted under its class, though it is treated as single-use")
 	assert.Equal(t, 502, r.status(requestText("bad", "POST", "buy/bad", none)))
 	assert.Equal(t, 503, r.status(requestText("full", "POST", "buy/full", none)))
 	assert.Equal(t, 404, r.status(requestText("no class", "GET", "sell", "")))
 	assert.Equal(t, 400, r.status(requestText("", "GET", "look", "")))
 	r.front.maxBodyBytesTotal = -1
-	assert.Equal(t, 503, r.status(requestText("turned", "GET", "look", "")), "turned away without the module")
+	assert.Equal(t, 503, r.status(requestText("turned", "GET", "look", "")), "shed without the module")
 	r.front.maxBodyBytesTotal = 1 << 20
 	slow := r.dial()
 	slow.Write([]byte(requestText("slow", "POST", "buy/slow", none)))
@@ -168,10 +171,11 @@
 		assert.Eventually(t, func() bool { return c.of() == c.want }, 5*time.Second, time.Millisecond)
 		assert.Equal(t, c.want, c.of())
 	}
-	assert.NotNil(t, consoleStats(t, consoleAddr).Get("requests", "save"), "every class from the start")
+	assert.NotNil(t, consoleStats(t, consoleAddr).Get("requests", "save"), "every class is present from the start")
 }
 
-// Out by hand: a leg that still dials sends nothing, the only endpoint's loss is told at once, and a list changes nothing.
+// After an operator drain, a leg that is still dialling sends nothing, requests are answered at once if no other endpoint exists, and
+// a new list does not undo the drain.
 func TestOperatorDrain(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s), withConsole(t.TempDir()))
@@ -183,7 +187,7 @@
 	assert.Equal(t, 200, r.status(requestText("before", "GET", "look", "")))
 	dial, dialling := r.loop.upstream.dial, make(chan bool)
 	setDrain("maint")
-	assert.Equal(t, 1, consoleStats(t, consoleAddr).GetInt("endpoints_excluded"), "the figures know it when the yes is out")
+	assert.Equal(t, 1, consoleStats(t, consoleAddr).GetInt("endpoints_excluded"), "the counters show the drain once it is confirmed")
 	assert.False(t, r.loop.upstream.closeOneIdle(), "idle connections are closed")
 	started := time.Now()
 	assert.Equal(t, 503, r.status(requestText("nowhere", "GET", "look", "")))
@@ -218,19 +222,19 @@
 	assert.Equal(t, before, s.requests.Load())
 }
 
-// A ban that can't be kept holds, and is not said yes to.
+// An operator drain that can't be saved is in force, and is not confirmed.
 func TestUnsavedOperatorDrainIsInForceAndNotConfirmed(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "not there")
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(dir))
 	consoleAddr := r.startConsole()
-	// an endpoint that is not known yet is answered 404, rightly
+	// before the list is loaded, 404 would be the right answer
 	require.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.loop.waitUntilHandled(t.Context()) }, 5*time.Second, time.Millisecond)
 	status, _ := callConsole(t, consoleAddr, "POST", "/endpoints/s0/maint")
 	assert.Equal(t, 503, status)
-	assert.Equal(t, 503, r.status(requestText("1", "GET", "look", "")), "it is in force all the same")
+	assert.Equal(t, 503, r.status(requestText("1", "GET", "look", "")), "the drain is in force although it is not saved")
 }
 
-// A loop that stands still must not keep staff waiting, nor let the console say yes.
+// A stalled event loop must neither delay the console's answers nor let it confirm a drain.
 func TestStalledLoopDoesNotDelayTheConsole(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(t.TempDir()))
 	consoleAddr, release, held := r.startConsole(), make(chan bool), make(chan bool)
@@ -242,7 +246,7 @@
 	status, _ = callConsole(t, consoleAddr, "GET", "/stats")
 	assert.Equal(t, 200, status)
 	assert.Less(t, time.Since(began), time.Second)
-	assert.True(t, r.loop.upstream.find("s0").unavailable.Load(), "nothing new is written to it all the same")
+	assert.True(t, r.loop.upstream.find("s0").unavailable.Load(), "no further request is written to the endpoint, although the loop is stalled")
 	close(release)
 	assert.Eventually(t, func() bool { return r.loop.waitUntilHandled(t.Context()) }, 5*time.Second, time.Millisecond)
 	assert.Equal(t, 503, r.status(requestText("1", "GET", "look", "")))
--- a/internal/sidecar/sibling.go
+++ b/internal/sidecar/sibling.go
@@ -1,7 +1,8 @@
-// Sibling: what the processes that are one sidecar during an upgrade tell each other of endpoints and of discovery, since what one of
-// them was told counts as told to the sidecar. Each tells all that it knows whenever that changes, so that a message that is lost or
-// comes twice does no harm. This file owns what is told, its form on the line between them, and which part of it is believed. It must
-// never take for told by discovery what a sibling tells: who takes over needs a watch of its own.
+// This file owns the state of endpoints and discovery that sibling processes (the processes that form one sidecar during an upgrade)
+// share: a change of which one of them was notified counts as notified to the sidecar. It owns the content of the updates, their
+// encoding on the connection between the processes, and the rules by which a received state is merged. Each process sends its whole
+// state whenever that changes, so that a lost or repeated update does no harm. Invariant: an update from a sibling does not count as
+// one from discovery, because a process that takes over needs a watch of its own.
 package sidecar
 
 import (
@@ -16,27 +17,27 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// fromSibling is the number of no call: that of lists which another process of this sidecar tells.
+// fromSibling stands in place of a call's number for lists that come from another process of this sidecar.
 const fromSibling = -1
 
-// partMostEntries bounds the entries in one line that a sibling tells, so that no list is too long for a line.
+// maxPartEntries bounds the endpoints in one line of an update, so that a list of any length stays within the limit of a line.
 const maxPartEntries = 500
 
-// knowledge is what a process was told of endpoints and of discovery.
+// sharedState is what a process knows of endpoints and of discovery, as shared with its siblings.
 type sharedState struct {
-	endpointList                // the whole list as it stands
-	discovery     string        // the address in force
-	reloaded      time.Duration // when a new configuration was read last, on the machine's monotonic clock; 0 for never
+	endpointList                // the whole current list
+	discovery     string        // address of discovery in use
+	reloaded      time.Duration // time of the last configuration reload, on the machine's monotonic clock; 0 for never
 	following     bool          // a watch is open
 	drained       map[logic.EndpointID]drainRecord
-	pendingDrains []hands.PendingChange // calls by hand that are in force and not in the file that all share
-	change        uint64                // of the teller's count
+	pendingDrains []hands.PendingChange // operator drains and undrains in force that are not in the processes' common file yet
+	change        uint64                // the sender's changeCount; not sent
 }
 
-// errStill is that the loop did not answer in time.
-var errLoopStalled = errors.New("the loop stands still")
+// errLoopStalled reports that the event loop did not answer in time.
+var errLoopStalled = errors.New("event loop did not answer in time")
 
-// knowledge asks the loop for what it was told.
+// sharedState returns the loop's current state. It waits at most for timeout, and then returns errLoopStalled.
 func (l *loop) sharedState(timeout time.Duration) (sharedState, error) {
 	answer := make(chan sharedState, 1)
 	l.postUrgent(loopCall(func(l *loop) {
@@ -57,7 +58,7 @@
 	}
 }
 
-// changed tells the siblings that there is news.
+// notifySiblings records a change of the shared state and has it sent to the siblings.
 func (l *loop) notifySiblings() {
 	l.changeCount.Add(1)
 	if notify := l.onChange.Load(); notify != nil {
@@ -65,7 +66,8 @@
 	}
 }
 
-// parts writes knowledge as objects of so many entries at most, in discovery's form; the last of them lacks "more".
+// parts encodes the state as JSON objects of at most maxEntries endpoints each, in discovery's format. All but the last have the
+// member "more", and the first has the member "first" and what is sent only once.
 func (k sharedState) parts(a *fastjson.Arena, maxEntries int) (parts []*fastjson.Value) {
 	rest := k.servers
 	for {
@@ -87,6 +89,7 @@
 	}
 }
 
+// boolean returns v as a JSON value.
 func boolean(a *fastjson.Arena, v bool) *fastjson.Value {
 	if v {
 		return a.NewTrue()
@@ -94,6 +97,7 @@
 	return a.NewFalse()
 }
 
+// drainedList encodes the drain records.
 func (k sharedState) drainedList(a *fastjson.Arena) *fastjson.Value {
 	list, n := a.NewArray(), 0
 	for id, mark := range k.drained {
@@ -107,6 +111,7 @@
 	return list
 }
 
+// pendingDrainList encodes the operator drains that are not in the file yet.
 func (k sharedState) pendingDrainList(a *fastjson.Arena) *fastjson.Value {
 	list := a.NewArray()
 	for n, w := range k.pendingDrains {
@@ -120,7 +125,7 @@
 	return list
 }
 
-// add takes one more part, and tells whether all have come.
+// addPart decodes and adds one part, and reports whether the state is complete. A part with "first" discards what was added before.
 func (k *sharedState) addPart(part *fastjson.Value) (complete bool, err error) {
 	list, err := decodeList(part)
 	if err != nil {
@@ -145,12 +150,12 @@
 	return !part.GetBool("more"), nil
 }
 
-// siblingTold is what another process of this sidecar knows.
+// siblingUpdate is the event of a complete state received from another process of this sidecar.
 type siblingUpdate struct{ sharedState }
 
-// happen believes a sibling whole if it follows discovery and this process does not, or if both do not and it has the later list.
-// Else the own watch counts, and of the sibling's word what takes an endpoint out, or tells of its later start, which must not wait for
-// the watch.
+// handle merges the sibling's state. The sibling's list replaces the own one if the sibling has a watch and this process has none, or
+// if neither has one and the sibling's list is later. Otherwise the own watch decides, and only those changes are applied that must
+// not wait for it: endpoints that drain, are gone or have restarted (see urgentChanges).
 func (e siblingUpdate) handle(l *loop) {
 	l.operatorDrains.MergePending(e.pendingDrains)
 	if e.reloaded > l.list.configuredAt {
@@ -176,8 +181,9 @@
 	}
 }
 
-// newsOf is what a sibling knows of endpoints that are known here and must not wait: that they drain, are gone or have started anew.
-// Unless its list is later than ours, one that started later by our list is not taken out by its word, and one that it lacks is not gone.
+// urgentChanges returns the changes in a sibling's state that must not wait for the own watch: endpoints known here that drain, are
+// gone or have restarted. later says that the sibling's list is later than the own one. If it is not, an endpoint that restarted later
+// according to the own list is not drained, and one that the sibling's list lacks does not count as gone.
 func (d *discoveryClient) urgentChanges(k sharedState, later bool) (changes []listEntry) {
 	listed := map[string]bool{}
 	for _, theirs := range k.servers {
--- a/internal/sidecar/sibling_test.go
+++ b/internal/sidecar/sibling_test.go
@@ -18,30 +18,32 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// reportOf is a list as a sibling tells it.
+// reportOf returns a state with the given list, as a sibling sends it.
 func reportOf(version int64, following bool, servers ...listEntry) sharedState {
 	return sharedState{endpointList: endpointList{version: version, full: true, servers: servers}, following: following}
 }
 
+// inService returns the list entry of an endpoint in service.
 func inService(id string, started logic.Millis) listEntry {
 	return listEntry{id: id, addr: "127.0.0.1:1", zone: "a", running: true, weight: 1, started: started}
 }
 
+// draining returns the list entry of a draining endpoint.
 func draining(id string) listEntry {
 	e := inService(id, 0)
 	e.running = false
 	return e
 }
 
-// inLoop runs in the loop's goroutine.
+// runInLoop runs f in the loop's goroutine and waits for it.
 func runInLoop(r *testSidecar, f func(l *loop)) {
 	done := make(chan bool)
 	r.loop.post(loopFunc(func(l *loop) { f(l); close(done) }))
 	<-done
 }
 
-// What a process makes of its sibling's word, by whether it follows discovery itself: whose list counts, what takes an endpoint out
-// whatever else is known, and what must not be taken back by an older or a lagging list.
+// How a process merges its sibling's state, with and without a watch of its own: which list counts, which drains apply regardless of
+// the list, and which changes an older or lagging list must not undo.
 func TestSiblingUpdateIsMergedByVersionAndWatch(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -50,17 +52,17 @@
 		runs    []string // in service afterwards, of a, b, c and new
 		version int64
 	}{
-		{"a drain, heard by the sibling alone", false, reportOf(11, true, inService("a", 0), draining("b"), inService("c", 0)), []string{"a", "c"}, 11},
-		{"the same beside a watch", true, reportOf(11, true, inService("a", 0), draining("b"), inService("c", 0)), []string{"a", "c"}, 10},
-		{"gone, from a list that is later", true, reportOf(11, true, inService("a", 0), inService("b", 0)), []string{"a", "b"}, 10},
-		{"missing from one that is older", true, reportOf(9, true, inService("a", 0), inService("b", 0)), []string{"a", "b", "c"}, 10},
-		{"a new endpoint", false, reportOf(11, true, inService("a", 0), inService("b", 0), inService("c", 0), inService("new", 5)), []string{"a", "b", "c", "new"}, 11},
-		{"a new one beside a watch, which will tell it", true, reportOf(11, true, inService("a", 0), inService("b", 0), inService("c", 0), inService("new", 5)), []string{"a", "b", "c"}, 10},
-		{"a discovery that counts anew", false, reportOf(1, true, inService("a", 0), inService("b", 0)), []string{"a", "b"}, 1},
-		{"a drain by one that counts anew, beside a watch", true, reportOf(1, true, inService("a", 0), draining("b"), inService("c", 0)), []string{"a", "c"}, 10},
-		{"older, from one that does not follow", false, reportOf(4, false, inService("a", 0)), []string{"a", "b", "c"}, 10},
-		{"later, from one that does not follow", false, reportOf(12, false, inService("a", 0), draining("c")), []string{"a"}, 12},
-		{"no version after a move", false, reportOf(noVersion, true, draining("a"), inService("b", 0), inService("c", 0)), []string{"b", "c"}, 10},
+		{"drain known to the sibling only", false, reportOf(11, true, inService("a", 0), draining("b"), inService("c", 0)), []string{"a", "c"}, 11},
+		{"drain known to the sibling only, own watch open", true, reportOf(11, true, inService("a", 0), draining("b"), inService("c", 0)), []string{"a", "c"}, 10},
+		{"endpoint missing from a later list", true, reportOf(11, true, inService("a", 0), inService("b", 0)), []string{"a", "b"}, 10},
+		{"endpoint missing from an older list", true, reportOf(9, true, inService("a", 0), inService("b", 0)), []string{"a", "b", "c"}, 10},
+		{"new endpoint", false, reportOf(11, true, inService("a", 0), inService("b", 0), inService("c", 0), inService("new", 5)), []string{"a", "b", "c", "new"}, 11},
+		{"new endpoint, own watch open and due to report it", true, reportOf(11, true, inService("a", 0), inService("b", 0), inService("c", 0), inService("new", 5)), []string{"a", "b", "c"}, 10},
+		{"versions of discovery restarted", false, reportOf(1, true, inService("a", 0), inService("b", 0)), []string{"a", "b"}, 1},
+		{"drain after versions restarted, own watch open", true, reportOf(1, true, inService("a", 0), draining("b"), inService("c", 0)), []string{"a", "c"}, 10},
+		{"older list from a sibling without a watch", false, reportOf(4, false, inService("a", 0)), []string{"a", "b", "c"}, 10},
+		{"later list from a sibling without a watch", false, reportOf(12, false, inService("a", 0), draining("c")), []string{"a"}, 12},
+		{"no version after discovery moved", false, reportOf(noVersion, true, draining("a"), inService("b", 0), inService("c", 0)), []string{"b", "c"}, 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
@@ -75,7 +77,7 @@
 				c.reports.discovery = l.list.addr
 				heard := l.watchHeard.Load()
 				siblingUpdate{c.reports}.handle(l)
-				assert.Equal(t, heard, l.watchHeard.Load(), "a sibling's word is no watch")
+				assert.Equal(t, heard, l.watchHeard.Load(), "a sibling's update does not count as the own watch's")
 				var runs []string
 				for id, e := range l.list.entries {
 					if e.running && l.upstream.find(id) != nil && !l.upstream.find(id).unavailable.Load() {
@@ -91,8 +93,8 @@
 	}
 }
 
-// A cold start that the sibling saw is known here at once, beside a watch too; a drain from before it takes nothing back. What was told of
-// endpoints that are gone stands against an older list of this process's own.
+// A cold start of an endpoint that the sibling saw applies here at once, even with a watch open, and a drain from before it does not
+// undo it. A sibling's record of an endpoint that is gone holds against an older list of this process.
 func TestSiblingReportsRestartedAndRemovedEndpoints(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
 	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() }, 5*time.Second, time.Millisecond)
@@ -115,8 +117,8 @@
 	})
 }
 
-// A new configuration that reached one process reaches the other, unless that read a later one; the file that a process was started with
-// is no news.
+// A configuration reloaded by one process is applied by its sibling, unless that has loaded a later one. The file that a process was
+// started with does not count as a reload.
 func TestANewConfigurationReachesTheSibling(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
 	elsewhere := newStubEndpoint(t, neverAnswer)
@@ -128,7 +130,7 @@
 		l.list.configuredAt = clock.Monotonic()
 		reports.reloaded = l.list.configuredAt - time.Second
 		siblingUpdate{reports}.handle(l)
-		assert.Equal(t, own, l.list.addr, "ours is later")
+		assert.Equal(t, own, l.list.addr, "the own configuration is later")
 		reports.reloaded = l.list.configuredAt + 1
 		siblingUpdate{reports}.handle(l)
 		assert.Equal(t, reports.discovery, l.list.addr)
@@ -136,7 +138,7 @@
 	<-elsewhere.received
 }
 
-// A list of any length goes over the line in parts; one that ends in the middle is not believed, and the next one counts.
+// A list of any length is sent in parts. An incomplete sequence is discarded when the next one begins.
 func TestSharedStateIsSentInParts(t *testing.T) {
 	k := sharedState{discovery: "127.0.0.1:7", reloaded: 5 * time.Second, following: true, drained: map[logic.EndpointID]drainRecord{"x": {version: 3, started: 8}},
 		pendingDrains: []hands.PendingChange{{ID: "s000001", Drained: true, BaseSerial: 4, ReceivedAt: 77}}}
@@ -151,7 +153,7 @@
 		texts = append(texts, part.MarshalTo(nil))
 	}
 	require.Len(t, texts, 3)
-	for _, n := range []int{0, 1, 0, 1, 2} { // broken off after two
+	for _, n := range []int{0, 1, 0, 1, 2} { // the first sequence ends after two parts
 		complete, err := got.addPart(fastjson.MustParseBytes(texts[n]))
 		require.NoError(t, err)
 		assert.Equal(t, n == 2, complete)
@@ -161,7 +163,7 @@
 	assert.Error(t, err)
 }
 
-// A process of another release must read the list that it is handed and the one that a sibling tells.
+// Processes of different releases must understand each other: the encoding of the list in a handover and in an update is fixed.
 func TestWireFormOfSharedState(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
 	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() }, 5*time.Second, time.Millisecond)
@@ -188,8 +190,8 @@
 	assert.JSONEq(t, `[{"id":"s0","out":true,"base":4,"at_ns":77}]`, string(k.pendingDrainList(&a).MarshalTo(nil)))
 }
 
-// Two processes on the two ends of a line, and a third that comes while the first still ends: what one is told all know, in both
-// directions, and the third is handed what the second knows.
+// Three processes form one sidecar, the third started while the first still shuts down: a change known to one reaches all, in both
+// directions, and the third takes over the second's state.
 func TestUpdatesReachAllOfThreeProcesses(t *testing.T) {
 	dir, s, discovery := t.TempDir(), newStubEndpoint(t, respondWith(okResponse, true)), newStubEndpoint(t, neverAnswer).Addr().String()
 	var groups [3]*processGroup
@@ -208,8 +210,8 @@
 		require.NoError(t, groups[n].listenForSuccessor(t.Context()))
 	}
 	predecessor, successor, _ := groups[1].siblings()
-	require.NotNil(t, predecessor, "the second has the first")
-	require.NotNil(t, successor, "and the third, which found it and not the first")
+	require.NotNil(t, predecessor, "the second is connected to the first")
+	require.NotNil(t, successor, "and to the third, which connected to it and not to the first")
 	reportDrain := func(reporter int, id string, version int64) {
 		r := sidecars[reporter]
 		r.loop.postUrgent(listReceived{endpointList: endpointList{version: version, full: true, servers: []listEntry{inService("s0", 0), draining(id)}}, fromDisk: true})
@@ -217,16 +219,17 @@
 			assert.Eventually(t, func() bool {
 				k, err := sidecars[n].loop.sharedState(time.Second)
 				return err == nil && k.version == version && slices.ContainsFunc(k.servers, func(e listEntry) bool { return e.id == id && !e.running })
-			}, time.Second, time.Millisecond, "process %d hears from %d", n, reporter)
+			}, time.Second, time.Millisecond, "process %d receives the drain from %d", n, reporter)
 		}
 	}
 	reportDrain(0, "x", 20)
 	reportDrain(2, "y", 21)
-	predecessor.conn.Close() // the first ends
+	predecessor.conn.Close() // the first process ends
 	assert.Eventually(t, func() bool { e, y, _ := groups[1].siblings(); return e == nil && y != nil }, time.Second, time.Millisecond)
 }
 
-// A process whose successor dies is found again by the next one, and one whose line says what can't be read goes on alone.
+// A process whose successor dies after it has replaced the handover socket, or sends invalid data, runs alone again and can be found
+// by the next process.
 func TestPredecessorListensAgainAfterItsSuccessorDies(t *testing.T) {
 	dir := t.TempDir()
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
@@ -239,7 +242,7 @@
 		h.listener.Close()
 		name, release, err := socketName(dir)
 		require.NoError(t, err)
-		socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: name + ".new", Net: "unix"}) // it takes the name, and dies
+		socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: name + ".new", Net: "unix"}) // the successor opens a socket of its own, and dies
 		require.NoError(t, err)
 		release()
 		socket.Close()
--- a/internal/sidecar/start.go
+++ b/internal/sidecar/start.go
@@ -1,6 +1,6 @@
-// Start: what a sidecar is told when it starts, and its life from there to SIGTERM. This file owns the reading of that
-// text, the limits set on the process and the order in which the parts start and end. It must never leave an exchange
-// behind at its end.
+// This file owns the configuration that a sidecar reads at its start (the start file), the limits set on the process, and
+// the order in which the parts of the sidecar start and shut down, from the start of the process to SIGTERM. Invariant:
+// shutdown must not leave an exchange unanswered.
 package sidecar
 
 import (
@@ -27,41 +27,55 @@
 )
 
 const (
-	minAcceptAfterTerm  = 650 * time.Millisecond // after SIGTERM connections come for up to 0.4 s
-	acceptQuietPeriod   = 150 * time.Millisecond // without a new connection, before the door is closed; for kept ones to be used once more
-	maxAddressWait      = 5 * time.Second        // for the address, at the start
-	memoryLimitTenths   = 7                      // tenths of the limit
-	maxShutdownTransfer = time.Minute            // of long transfers after SIGTERM, if nobody sends SIGKILL
-	maxAskWithinMs      = 10000                  // milliseconds, for the module's waits: news count as told 6 s after a watch fell silent
-	maxShutdownAbandon  = 3 * time.Second        // of an abandon time, that SIGKILL waits for
-	shutdownMargin      = 400 * time.Millisecond // beyond the longest abandon time: less than SIGKILL leaves
+	// minAcceptAfterTerm is how long connections are accepted after SIGTERM at the least: clients open new ones for up to 0.4 s.
+	minAcceptAfterTerm = 650 * time.Millisecond
+	// acceptQuietPeriod is the time without a new connection after which the listener is closed during shutdown. Idle
+	// keep-alive connections are left open for as long after SIGTERM, so that a client may use them once more.
+	acceptQuietPeriod = 150 * time.Millisecond
+	// maxAddressWait bounds the wait at the start for an address that another process still listens on.
+	maxAddressWait = 5 * time.Second
+	// memoryLimitTenths is the soft memory limit of the garbage collector, in tenths of the configured memory.
+	memoryLimitTenths = 7
+	// maxShutdownTransfer bounds long transfers after SIGTERM, in case no SIGKILL follows.
+	maxShutdownTransfer = time.Minute
+	// maxAskWithinMs is the upper limit of the setting ask-within, which bounds the module's waits for discovery: changes
+	// count as notified 6 s after a watch fell silent.
+	maxAskWithinMs = 10000
+	// maxShutdownAbandon is the longest abandon time that SIGKILL waits for.
+	maxShutdownAbandon = 3 * time.Second
+	// shutdownMargin is added to the longest abandon time at shutdown; it is less than the time that SIGKILL leaves.
+	shutdownMargin = 400 * time.Millisecond
 )
 
-// Start is all that a sidecar is told.
+// Config is the configuration of a sidecar, decoded from its start file.
 type Config struct {
-	Name, Listen, Discovery   string
-	Console                   string // "" for none
-	stateDir                  string // where a file outlasts the process; "" for none
-	Cores                     float64
-	MemoryMB, Sockets         int
-	terms                     logic.Terms
-	names                     *terms.Names
-	initialList               *endpointList
-	initialListErr            error
-	connectTimeout, idleClose logic.Millis
-	graceToAnswer             logic.Millis  // past the abandon time in which an answer still counts
-	watchSilence              time.Duration // of discovery, after which the watch has ended
-	Peers                     []string      // the pool's addresses, by number; none outside a pool
-	listPushed                bool          // the list comes unasked
-	streamsPerConn            int           // exchanges on a connection
-	messenger                 messenger     // nil for none
-	pusher                    pusher        // nil for none
-	placementRules            []string      // which products go where only, in words
-	fixedSettings             string        // limits and settings as written: they hold until a restart
-	readAt                    time.Duration // before the file was read, on the machine's monotonic clock
+	Name           string
+	Listen         string // address for clients
+	Discovery      string // address of discovery
+	Console        string // address of the operators' console; "" for no console
+	stateDir       string // directory of the files that outlast the process; "" for none
+	Cores          float64
+	MemoryMB       int
+	Sockets        int // limit of the process's descriptors
+	terms          logic.Terms
+	names          *terms.Names
+	initialList    *endpointList // endpoint list of the start file or of the process before this one; nil for none
+	initialListErr error         // why the endpoint list of the start file could not be decoded
+	connectTimeout logic.Millis
+	idleClose      logic.Millis  // idle time after which endpoints close a connection
+	graceToAnswer  logic.Millis  // time past the abandon time in which an answer still counts
+	watchSilence   time.Duration // silence of discovery after which the watch counts as ended
+	Peers          []string      // addresses of the pool's sidecars, by number; none outside a pool
+	listPushed     bool          // the endpoint list is pushed instead of requested
+	streamsPerConn int           // concurrent exchanges on a connection
+	messenger      messenger     // transport to the pool's other sidecars; nil for none
+	pusher         pusher        // source of pushed endpoint lists; nil for none
+	placementRules []string      // placement constraints of the products, as text for String
+	fixedSettings  string        // limits and settings as written in the file; a reload can't change them
+	readAt         time.Duration // time just before the file was read, on the machine's monotonic clock
 }
 
-// Read decodes the file at path.
+// Read decodes the start file at path and checks the address of the console.
 func Read(path string) (*Config, error) {
 	readAt := clock.Monotonic()
 	text, err := os.ReadFile(path)
@@ -74,7 +88,7 @@
 	}
 	s.readAt = readAt
 	if addr := os.Getenv("RELAY_CONSOLE"); addr != "" {
-		s.Console = addr // of this start; the file may be older
+		s.Console = addr // takes precedence: it is set for this start, while the file may be older
 	}
 	if s.Console != "" {
 		if _, _, err := net.SplitHostPort(s.Console); err != nil {
@@ -85,7 +99,7 @@
 	return s, nil
 }
 
-// Decode checks what a sidecar cannot do without.
+// Decode decodes the text of a start file. It checks the values that a sidecar can't run without and fills in the defaults of others.
 func Decode(text []byte) (*Config, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -93,11 +107,11 @@
 	}
 	seed, err := strconv.ParseUint(string(v.GetStringBytes("seed")), 16, 64)
 	if err != nil {
-		return nil, errors.New("seed: hex digits are needed")
+		return nil, errors.New("seed: must be up to 16 hexadecimal digits")
 	}
 	settings, limits := v.Get("settings"), v.Get("limits")
 	if len(settings.GetArray("products")) == 0 {
-		return nil, errors.New("settings: no products")
+		return nil, errors.New("settings.products: no products given")
 	}
 	s := &Config{
 		Name: string(v.GetStringBytes("name")), Listen: string(v.GetStringBytes("listen")),
@@ -123,14 +137,14 @@
 	}
 	for _, addr := range []string{s.Listen, s.Discovery} {
 		if addr == "" && s.listPushed && addr == s.Discovery {
-			continue // serve says that it lacks one
+			continue // Serve reports the missing source of lists (see unsupported)
 		}
 		if _, _, err := net.SplitHostPort(addr); err != nil {
 			return nil, fmt.Errorf("listen or discovery: %w", err)
 		}
 	}
 	if s.Cores < 0 || s.MemoryMB < 0 || s.Sockets < 0 {
-		return nil, errors.New("limits: below 0")
+		return nil, errors.New("limits: cores, memory_mb and sockets must not be below 0")
 	}
 	var rlimit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit) == nil && rlimit.Cur < uint64(s.Sockets) {
@@ -140,7 +154,7 @@
 		s.Sockets = 1024
 	}
 	if minSockets := 2*reservedDescriptors + maxCallers*min(len(s.Console), 1); s.Sockets < minSockets {
-		return nil, fmt.Errorf("limits: %d sockets are needed", minSockets)
+		return nil, fmt.Errorf("limits: sockets: at least %d are needed", minSockets)
 	}
 	if s.MemoryMB == 0 {
 		s.MemoryMB = 192
@@ -164,7 +178,7 @@
 		s.terms.Notified = logic.NotificationBounds{}
 	}
 	if k := v.Get("known"); k != nil && k.Type() != fastjson.TypeNull {
-		// A list that can't be read is no reason not to start: the watch brings another.
+		// An endpoint list that can't be decoded does not prevent the start: the watch delivers another.
 		known, err := decodeList(k)
 		if s.initialListErr = err; err == nil && len(known.servers) > 0 {
 			known.full, s.initialList, s.terms.HasList = true, &known, true
@@ -176,6 +190,7 @@
 	return s, nil
 }
 
+// String returns the summary that the check command prints.
 func (s *Config) String() string {
 	known := 0
 	if s.initialList != nil {
@@ -201,17 +216,18 @@
 	return text
 }
 
-// memory is what this sidecar is given; a whole number of tenths of it is for the collector to keep below.
+// memoryTenth returns a tenth of the memory given to the sidecar, in bytes. The collector's limit is a multiple of it.
 func (s *Config) memoryTenth() int64 { return int64(s.MemoryMB) << 20 / 10 }
 
-// limit keeps the process within what it is given.
+// applyLimits sets the Go runtime's processor count and memory limit from the configured limits.
 func (s *Config) applyLimits() {
 	runtime.GOMAXPROCS(max(int(math.Ceil(s.Cores)), 1))
 	debug.SetMemoryLimit(s.memoryTenth() * memoryLimitTenths)
 	debug.SetGCPercent(200)
 }
 
-// Serve runs until ctx ends (SIGTERM) and all that was taken is answered. At each again (SIGHUP) it reads anew.
+// Serve runs the sidecar until ctx ends (SIGTERM) and every accepted exchange is answered. On each signal from reload
+// (SIGHUP) it reads the start file again.
 func (s *Config) Serve(ctx context.Context, log *zap.Logger, reload <-chan os.Signal, read func() (*Config, error)) error {
 	if err := s.unsupported(); err != nil {
 		return err
@@ -219,29 +235,30 @@
 	s.applyLimits()
 	handover, err := requestHandover(s.stateDir)
 	if err != nil && err != errNoPredecessor {
-		log.Warn("the process before this one does not answer; started without it", zap.Error(err))
+		log.Warn("handover from the running process failed; starting without its state", zap.Error(err))
 	}
 	var ln *net.TCPListener
 	if handover != nil {
-		// What was learned last stands above a list that may be as old as the first start. It is asked on at once.
+		// The predecessor's list takes precedence over that of the start file, which may be as old as the first start. It
+		// is not taken for current (HasList is false), so that discovery is called at once.
 		if ln = handover.listener; handover.list != nil {
 			s.initialList = handover.list
 		}
 		s.terms.HasList, s.terms.TakesOver = false, true
 	} else if ln, err = s.listen(ctx, s.Listen); err != nil {
 		if ctx.Err() != nil {
-			return nil // told to end while it waited for the address: nothing was taken yet
+			return nil // SIGTERM arrived during the wait for the address: no client was accepted yet
 		}
 		return err
 	}
 	if s.initialListErr != nil {
-		log.Warn("the list at the start can't be read", zap.Error(s.initialListErr))
+		log.Warn("endpoint list of the start file (key known) can't be decoded; starting without it", zap.Error(s.initialListErr))
 	}
 	log.Debug("told", zap.String("limits_and_settings", s.fixedSettings))
 	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	srv := s.assemble(runCtx, log)
-	if s.stateDir != "" { // before anybody can ask whether we serve
+	if s.stateDir != "" { // set before the first health check can arrive
 		srv.pair = &processGroup{dir: s.stateDir, memoryTenth: s.memoryTenth(), server: srv, listener: ln, log: log, startedAt: time.Now(), tookOver: handover != nil}
 		srv.pair.predecessorTransfers.Store(-1)
 	}
@@ -280,8 +297,8 @@
 	return err
 }
 
-// follow takes over a new discovery from the file whenever it is told to, also while the process ends. A file that can't
-// be used changes nothing: an end on SIGHUP would be a crash.
+// followReloads reads the start file again on each signal from reload and applies a changed address of discovery, also during
+// shutdown. A file that can't be used changes nothing: ending the process on SIGHUP would amount to a crash.
 func (s *Config) followReloads(ctx context.Context, srv *clientServer, reload <-chan os.Signal, read func() (*Config, error)) {
 	for {
 		select {
@@ -292,27 +309,27 @@
 		next, err := readWithRetry(ctx, reload, read)
 		if err != nil {
 			srv.counters.failedReloads.Add(1)
-			srv.log.Error("the new configuration can't be used; the old one stays", zap.Error(err))
+			srv.log.Error("reload failed: the start file can't be used; keeping the previous configuration", zap.Error(err))
 			continue
 		}
 		srv.counters.reloads.Add(1)
-		srv.log.Info("configuration read anew", zap.String("discovery", next.Discovery))
+		srv.log.Info("configuration reloaded", zap.String("discovery", next.Discovery))
 		if next.Listen != s.Listen || next.fixedSettings != s.fixedSettings {
-			srv.log.Warn("another listen, limits or settings wait for a restart")
+			srv.log.Warn("changes of listen, limits or settings in the start file take effect only after a restart")
 		}
-		srv.loop.postUrgent(discoveryChanged{next.Discovery}) // its time runs from the signal, whatever waits in the queue
+		srv.loop.postUrgent(discoveryChanged{next.Discovery}) // urgent: its deadline counts from the signal, however long the queue is
 	}
 }
 
-// reloadPatience is for how long a start file that can't be read is tried again, and reloadPause the time between two tries:
-// the change that it names counts as notified 4 s after the signal.
 const (
-	reloadRetryTime     = time.Second
+	// reloadRetryTime is how long reading the start file is retried: the change in it counts as notified 4 s after the signal.
+	reloadRetryTime = time.Second
+	// reloadRetryInterval is the time between two tries.
 	reloadRetryInterval = 50 * time.Millisecond
 )
 
-// readAgain reads the start file. A system call that fails is tried again for a while, since the signal won't come twice; a file
-// that is read and wrong is not. Another signal in between begins the time anew.
+// readWithRetry reads the start file for a reload. A failed system call is retried for reloadRetryTime, since the signal is not
+// repeated; a file that was read but is invalid is not retried. A further signal restarts the time.
 func readWithRetry(ctx context.Context, reload <-chan os.Signal, read func() (*Config, error)) (*Config, error) {
 	until := time.Now().Add(reloadRetryTime)
 	for {
@@ -331,7 +348,7 @@
 	}
 }
 
-// listen waits for an address that the process before this one has not let go of yet.
+// listen opens a TCP listener on addr. It waits up to maxAddressWait while another process still listens there.
 func (s *Config) listen(ctx context.Context, addr string) (*net.TCPListener, error) {
 	listenConfig := net.ListenConfig{}
 	if s.Console != "" {
@@ -349,7 +366,7 @@
 	}
 }
 
-// assemble starts all parts but the listener's; they end with ctx.
+// assemble creates the parts of the sidecar and starts all but the client listener; they stop when ctx ends.
 func (s *Config) assemble(ctx context.Context, log *zap.Logger) *clientServer {
 	counters := &Counters{products: make([]productCounters, len(s.terms.Products))}
 	limit := s.Sockets
@@ -381,7 +398,7 @@
 	return srv
 }
 
-// serve takes clients until ctx ends; heir is nil unless the process takes over from another.
+// serve accepts clients until ctx ends, then shuts down. group is nil unless the process takes over from a predecessor.
 func (s *Config) serve(ctx context.Context, srv *clientServer, ln *net.TCPListener, group *processGroup) error {
 	httpServer := srv.httpServer()
 	failed := make(chan error, 1)
@@ -402,7 +419,7 @@
 	}
 }
 
-// telling logs figures and the module's view once a second; only who asks for the least level pays for it.
+// logFigures logs the counters and the module's view once a second; it runs at log level debug only, because of its cost.
 func (s *clientServer) logFigures(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -417,6 +434,7 @@
 	}
 }
 
+// sweepIdleConns closes stale idle connections to endpoints once a second until ctx ends.
 func sweepIdleConns(ctx context.Context, up *upstream) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -430,9 +448,9 @@
 	}
 }
 
-// finish accepts for as long as connections come, answers what is held, and ends once no client is connected. Kept
-// connections are closed while the door is open: a request that crosses that comes again on a new one, and must find us.
-// Whatever was begun on a connection, be it the first byte of a head, is waited for.
+// shutDown accepts connections until no more arrive, answers all open exchanges, and returns once no client is connected. Idle
+// keep-alive connections are closed while the listener is still open: a client whose request crosses the close repeats it on
+// a new connection, which must still be accepted. A request that has begun, even with one byte of its head, is waited for.
 func (s *Config) shutDown(srv *clientServer, httpServer *http.Server, ln net.Listener) {
 	started := time.Now()
 	longestAbandon := s.longestAbandon()
@@ -446,24 +464,24 @@
 	for ; ; <-ticker.C {
 		elapsed := time.Since(started)
 		if accepting && srv.pair != nil && srv.pair.successorReady() {
-			// Whoever comes now is in a queue that the new process serves.
+			// Clients that connect from now on are in the accept queue that both processes share; the successor accepts them.
 			accepting = false
 			srv.replaced.Store(true)
 			ln.Close()
-			srv.log.Info("the new process has the door")
+			srv.log.Info("listener closed: the successor process is ready and accepts the clients")
 		}
 		if accepting && elapsed > minAcceptAfterTerm && (srv.listener.Load().sinceLastAccept() > acceptQuietPeriod || time.Now().After(until)) {
 			accepting = false
 			ln.Close()
 		}
-		if elapsed > acceptQuietPeriod { // until then those that are used close with their answer
+		if elapsed > acceptQuietPeriod { // until then a connection that is used closes after its answer
 			srv.descriptors.evictQuiet(!accepting)
 		}
 		clients, _ := srv.descriptors.connections()
 		if !accepting && clients == 0 && srv.activeHandlers.Load() == 0 && srv.loop.unanswered.Load() == 0 {
 			break
 		}
-		// A transfer that goes on has no abandon time: whoever sends SIGKILL decides how long it may take.
+		// A running transfer has no abandon time: the sender of SIGKILL decides how long it may take.
 		if elapsed > longestAbandon+shutdownMargin && srv.transfers.Load()+srv.activeRequests.Load() == 0 || elapsed > maxShutdownTransfer {
 			break
 		}
@@ -475,7 +493,8 @@
 	}
 }
 
-// longest is the longest abandon time of any product, as far as SIGKILL waits for it.
+// longestAbandon returns the longest abandon time of the products, at most maxShutdownAbandon, which is also the value for a
+// product without an abandon time.
 func (s *Config) longestAbandon() time.Duration {
 	longest := logic.Millis(0)
 	for _, p := range s.terms.Products {
--- a/internal/sidecar/upgrade.go
+++ b/internal/sidecar/upgrade.go
@@ -1,6 +1,8 @@
-// Upgrade: two processes, or three where one upgrade follows another, that are one sidecar for a while. This file owns the lines between
-// them: what an old one hands over (its listening socket, list, bans), and what each says of itself until the other is gone. It must never
-// stop a sidecar that has no other process beside it, nor let one that doesn't answer keep the other from starting or ending.
+// This file owns process replacement (upgrade): for a while two processes, or three if one upgrade follows another, form one
+// sidecar. It owns the Unix socket connections between them: the handover from the predecessor to the successor (listening
+// socket, endpoint list, operator drains), and the updates that each sends to the other until one of them is gone.
+// Invariants: a sidecar with a single process runs without any of this, and a process that does not answer must not keep the
+// other from starting or shutting down.
 package sidecar
 
 import (
@@ -26,33 +28,45 @@
 )
 
 const (
-	handoverTimeout    = 1500 * time.Millisecond // for the old process to answer: the new one must serve within 6 s
-	updateInterval     = 50 * time.Millisecond
-	siblingTimeout     = 20 * updateInterval // of silence, after which the other is taken for hung
-	updatePauseFactor  = 4                   // times what telling took, before the next: long lists that change all the time must not take a core
-	maxLineBytes       = maxListBytes + hands.MaxFileBytes
-	maxTransferWait    = 5400 * time.Millisecond // for the old process's transfers, before the yes that is due within 6 s
-	maxOwnWatchWait    = 5 * time.Second         // for the new process's own watch to tell something, before the same yes
-	maxSocketNameBytes = 100                     // bytes that a Unix socket's name may have
-
-	// heritageMost bounds the entries that a new process is handed in one line.
+	// handoverTimeout bounds the predecessor's answer and each side's handover: the new process must serve within 6 s.
+	handoverTimeout = 1500 * time.Millisecond
+	// updateInterval is the interval of updates to a sibling; they double as heartbeats.
+	updateInterval = 50 * time.Millisecond
+	// siblingTimeout is the silence after which a sibling is considered hung.
+	siblingTimeout = 20 * updateInterval
+	// updatePauseFactor times the time that an update took is the pause after it: long lists that change continuously must
+	// not occupy a core.
+	updatePauseFactor = 4
+	// maxLineBytes bounds a line received from a sibling.
+	maxLineBytes = maxListBytes + hands.MaxFileBytes
+	// maxTransferWait bounds the new process's wait for the predecessor's transfers before its health check succeeds, which
+	// is due within 6 s.
+	maxTransferWait = 5400 * time.Millisecond
+	// maxOwnWatchWait bounds its wait for the first update of its own watch, before the same health check.
+	maxOwnWatchWait = 5 * time.Second
+	// maxSocketNameBytes is the longest path that is used as a Unix socket's name; the kernel's limit is slightly above it.
+	maxSocketNameBytes = 100
+
+	// maxHandoverEntries bounds the endpoints in the one line of a handover.
 	maxHandoverEntries = 8192
 )
 
-var errNoPredecessor = errors.New("nobody to inherit from")
+// errNoPredecessor reports that no other process of this sidecar was found.
+var errNoPredecessor = errors.New("no predecessor process to take over from")
 
-// heritage is what an old process hands over.
+// handoverState is what a predecessor hands over, and the connection to it.
 type handoverState struct {
 	listener   *net.TCPListener
 	list       *endpointList
-	shared     *sharedState // beside known, with what it was told of those that are gone
-	drainedIDs []string
-	listedIDs  []string
+	shared     *sharedState // list together with what the predecessor knows of endpoints that are no longer listed
+	drainedIDs []string     // endpoints drained by operator
+	listedIDs  []string     // endpoints that were ever listed
 	conn       *net.UnixConn
-	reader     *bufio.Reader
+	reader     *bufio.Reader // buffers conn after the handover
 }
 
-// socketName is short enough for the kernel; a long one is reached through an open folder.
+// socketName returns the name of the handover socket in dir. A path that is too long for the kernel is replaced by one through an
+// open descriptor of the directory; release closes that descriptor.
 func socketName(dir string) (name string, release func(), err error) {
 	name = filepath.Join(dir, "lynxjunction.sock")
 	if len(name) <= maxSocketNameBytes {
@@ -65,7 +79,7 @@
 	return fmt.Sprintf("/proc/self/fd/%d/lynxjunction.sock", folder.Fd()), func() { folder.Close() }, nil
 }
 
-// inherit asks the process that serves now for all it has.
+// requestHandover connects to the running process of this sidecar and receives its state. It returns errNoPredecessor if there is none.
 func requestHandover(dir string) (*handoverState, error) {
 	if dir == "" {
 		return nil, errNoPredecessor
@@ -93,7 +107,7 @@
 	return h, nil
 }
 
-// receive takes what comes over the line: a socket, then a line of text.
+// receive reads the handover from the connection: the listening socket as ancillary data, then one line of JSON.
 func (h *handoverState) receive() error {
 	h.conn.SetDeadline(time.Now().Add(handoverTimeout))
 	firstByte, rights := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
@@ -135,18 +149,19 @@
 	return h.conn.SetDeadline(time.Time{})
 }
 
+// listenerFromRights returns the listener whose descriptor was passed in the control message rights (SCM_RIGHTS).
 func listenerFromRights(rights []byte) (*net.TCPListener, error) {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil || len(messages) != 1 {
-		return nil, errors.Join(errors.New("no socket came"), err)
+		return nil, errors.Join(errors.New("expected one control message with the listening socket"), err)
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, errors.Join(errors.New("no one socket came"), err)
+		return nil, errors.Join(errors.New("expected exactly one descriptor in the control message"), err)
 	}
 	unix.CloseOnExec(fds[0])
 	file := os.NewFile(uintptr(fds[0]), "door")
-	defer file.Close() // net.FileListener has one of its own
+	defer file.Close() // net.FileListener duplicates the descriptor
 	ln, err := net.FileListener(file)
 	if err != nil {
 		return nil, err
@@ -154,11 +169,12 @@
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		ln.Close()
-		return nil, errors.New("not a TCP listener")
+		return nil, errors.New("the socket passed is not a TCP listener")
 	}
 	return tcp, nil
 }
 
+// readLine reads a line of at most about maxLineBytes; an overlong one is returned with bufio.ErrBufferFull.
 func readLine(r *bufio.Reader) (line []byte, err error) {
 	for {
 		part, err := r.ReadSlice('\n')
@@ -169,39 +185,40 @@
 	}
 }
 
-// peer is one other process of this sidecar, at the other end of a line.
+// sibling is another process of this sidecar, connected to this one.
 type sibling struct {
-	conn             *net.UnixConn
-	isSuccessor      bool
-	ready, accepting atomic.Bool
-	heldDescriptors  atomic.Int64
-	wake             chan struct{} // there is news to tell
-	sentChange       uint64        // the last change that was told
-	writeMu          sync.Mutex    // orders what is told
+	conn            *net.UnixConn
+	isSuccessor     bool          // it took over from this process; otherwise it is the predecessor
+	ready           atomic.Bool   // it passes its health check, so that this process may end
+	accepting       atomic.Bool   // it accepts clients
+	heldDescriptors atomic.Int64  // as last reported, including those of further processes on its other side
+	wake            chan struct{} // signalled when there is an update to send
+	sentChange      uint64        // loop.changeCount of the last shared state sent
+	writeMu         sync.Mutex    // serializes writes to conn; guards sentChange
 }
 
-// pair is this process and, during an upgrade, the other ones.
+// processGroup is this process together with the sibling processes of an upgrade.
 type processGroup struct {
-	dir         string
-	memoryTenth int64 // what all may have
+	dir         string // directory of the handover socket
+	memoryTenth int64  // a tenth of the memory of all processes together, in bytes
 	server      *clientServer
-	listener    *net.TCPListener
+	listener    *net.TCPListener // listening socket for clients, to be handed over
 	log         *zap.Logger
 
 	mu                   sync.Mutex
 	predecessor          *sibling // the process before this one; nil for none
-	successor            *sibling // the new process; nil for none
+	successor            *sibling // the process that takes over from this one; nil for none
 	handoverListener     *net.UnixListener
-	hadSibling           bool         // there was another
-	predecessorTransfers atomic.Int64 // the elder's long transfers; below 0 while it has not said
+	hadSibling           bool         // a sibling is or was connected
+	predecessorTransfers atomic.Int64 // long transfers of the predecessor; below 0 until it reports them
 	hasSibling           atomic.Bool
 	startedAt            time.Time
-	tookOver             bool         // this process has inherited
-	awaitingList         atomic.Bool  // and takes no clients yet
-	memorySharers        atomic.Int64 // processes that share the memory, as the collector was told; 0 for not yet
+	tookOver             bool         // this process took over from a predecessor
+	awaitingList         atomic.Bool  // this process accepts no clients yet: its own watch has not confirmed the endpoint list
+	memorySharers        atomic.Int64 // number of processes for which the collector's memory limit was last set; 0 before
 }
 
-// peers are the other processes, and how many descriptors they hold.
+// siblings returns the other processes, nil for none, and the number of descriptors that they hold.
 func (p *processGroup) siblings() (predecessor, successor *sibling, heldDescriptors int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,18 +230,18 @@
 	return p.predecessor, p.successor, heldDescriptors
 }
 
-// succeeds tells whether a new process serves beside this one.
+// successorReady reports whether a successor is connected and ready to serve.
 func (p *processGroup) successorReady() bool {
 	_, successor, _ := p.siblings()
 	return successor != nil && successor.ready.Load()
 }
 
-// settled tells whether what was inherited is confirmed by a watch of our own, or was waited for long enough.
+// listConfirmed reports whether the endpoint list taken over is confirmed by this process's own watch, or maxOwnWatchWait has passed.
 func (p *processGroup) listConfirmed() bool {
 	return !p.tookOver || p.server.loop.watchHeard.Load() || time.Since(p.startedAt) > maxOwnWatchWait
 }
 
-// clear tells whether the old process has no transfer under way that its end would cut off, or was waited for long enough.
+// predecessorDrained reports whether the predecessor has no running transfer that its end would cut off, or maxTransferWait has passed.
 func (p *processGroup) predecessorDrained() bool {
 	p.mu.Lock()
 	expected := p.predecessor != nil || p.tookOver && !p.hadSibling
@@ -232,15 +249,16 @@
 	return !expected || p.predecessorTransfers.Load() == 0 || time.Since(p.startedAt) > maxTransferWait
 }
 
-// yield lets the new process take the clients, or takes them again. The socket stays ours too: the new one may die.
+// setPaused stops or resumes accepting clients here, so that another process accepts them from the shared socket. The socket stays
+// open in this process: the successor may die. It stays paused while awaitingList is set.
 func (p *processGroup) setPaused(paused bool) {
 	if listener := p.server.listener.Load(); listener != nil {
 		listener.setPaused(paused || p.awaitingList.Load())
 	}
 }
 
-// openWhenSettled leaves the clients to the old process until this one has a list of its own: what the old one was told after
-// it had handed over its list is not known here.
+// acceptWhenListConfirmed leaves the clients to the predecessor until this process has a list from its own watch: changes that
+// the predecessor received after it had handed over its list are not known here.
 func (p *processGroup) acceptWhenListConfirmed(ctx context.Context) {
 	p.awaitingList.Store(true)
 	p.setPaused(true)
@@ -254,14 +272,15 @@
 	}()
 }
 
-// open takes clients from now on, whatever is known.
+// startAccepting accepts clients from now on, whether or not the endpoint list is confirmed, and tells the module that this process
+// has taken them over.
 func (p *processGroup) startAccepting() {
 	p.awaitingList.Store(false)
 	p.server.loop.postUrgent(loopCall(func(l *loop) { l.module.TookOver(l.list.siblingWatches) }))
 	p.setPaused(false)
 }
 
-// place is where a peer of an age stands. The caller holds mu.
+// slot returns the field that holds the successor or the predecessor. The caller holds mu.
 func (p *processGroup) slot(successor bool) **sibling {
 	if successor {
 		return &p.successor
@@ -269,20 +288,21 @@
 	return &p.predecessor
 }
 
-// join speaks with another process until its line ends.
+// runSibling exchanges updates with another process until the connection to it ends, and then takes back its share of the limits
+// and its clients.
 func (p *processGroup) runSibling(ctx context.Context, conn *net.UnixConn, reader *bufio.Reader, isSuccessor bool) {
 	other := &sibling{conn: conn, isSuccessor: isSuccessor, wake: make(chan struct{}, 1)}
 	p.mu.Lock()
 	slot := p.slot(isSuccessor)
 	if *slot != nil {
-		(*slot).conn.Close() // the newest counts
+		(*slot).conn.Close() // replaced by the newest connection
 	}
 	*slot, p.hadSibling = other, true
 	p.mu.Unlock()
 	if !isSuccessor {
 		p.predecessorTransfers.Store(-1)
 	}
-	p.log.Info("another process is this sidecar too", zap.Bool("the_other_is_new", isSuccessor))
+	p.log.Info("connected to another process of this sidecar", zap.Bool("the_other_is_new", isSuccessor))
 	p.shareLimits()
 	wake := p.wakeSenders
 	p.server.loop.onChange.Store(&wake)
@@ -311,11 +331,11 @@
 		p.shareLimits()
 	}
 	if isSuccessor && ctx.Err() == nil && p.server.shutdownBy.Load() == nil {
-		p.tryListenForSuccessor(ctx) // it had taken the name by which a new process finds this one
+		p.tryListenForSuccessor(ctx) // the successor had replaced the handover socket by its own
 	}
 }
 
-// hear takes what another process says until its line ends.
+// receiveUpdates reads and applies the updates of another process until its connection ends.
 func (p *processGroup) receiveUpdates(other *sibling, reader *bufio.Reader) {
 	var state sharedState
 	for {
@@ -333,7 +353,7 @@
 			return
 		}
 		other.accepting.Store(v.GetBool("takes"))
-		other.ready.Store(v.GetBool("serves") || v.GetBool("takes")) // the old one may end from then on
+		other.ready.Store(v.GetBool("serves") || v.GetBool("takes")) // from then on the predecessor may end
 		other.heldDescriptors.Store(v.GetInt64("held"))
 		if other.isSuccessor {
 			p.setPaused(other.accepting.Load())
@@ -344,7 +364,7 @@
 		if part := v.Get("list"); part != nil {
 			complete, err := state.addPart(part)
 			if err != nil {
-				p.log.Warn("what another process of this sidecar tells can't be read", zap.Error(err))
+				p.log.Warn("list update from another process of this sidecar can't be decoded; ignored", zap.Error(err))
 			} else if complete {
 				p.server.loop.postUrgent(siblingUpdate{state})
 				state = sharedState{}
@@ -353,7 +373,8 @@
 	}
 }
 
-// hangs is told of another process that says nothing, and holds what it holds.
+// siblingTimedOut handles a sibling that has been silent for siblingTimeout: it no longer counts as ready or accepting, and this
+// process accepts clients again. The descriptors that it last reported still count as held.
 func (p *processGroup) siblingTimedOut(other *sibling) {
 	other.ready.Store(false)
 	other.accepting.Store(false)
@@ -365,7 +386,7 @@
 	p.startAccepting()
 }
 
-// wakeAll has the other processes told at once.
+// wakeSenders has an update sent to the siblings at once.
 func (p *processGroup) wakeSenders() {
 	predecessor, successor, _ := p.siblings()
 	for _, other := range []*sibling{predecessor, successor} {
@@ -379,7 +400,8 @@
 	}
 }
 
-// tell says what we hold and know until the line ends.
+// sendUpdates sends updates to a sibling, at each change and every updateInterval, until the connection ends. It pauses after an update
+// that took long (see updatePauseFactor).
 func (p *processGroup) sendUpdates(other *sibling) {
 	ticker := time.NewTicker(updateInterval)
 	defer ticker.Stop()
@@ -396,7 +418,8 @@
 	}
 }
 
-// status is what we say of this process and of the one on its other side.
+// status returns the status to report to a sibling: that of this process, combined with that of the process on its other side, if
+// there are three.
 func (p *processGroup) status(a *fastjson.Arena, to *sibling) *fastjson.Value {
 	clients, upstream := p.server.descriptors.connections()
 	predecessor, successor, heldDescriptors := p.siblings()
@@ -416,7 +439,7 @@
 	return v
 }
 
-// say tells another process our status, and all that we know if that has changed since we told it last.
+// sendUpdate sends the status to a sibling, and the shared state if that has changed since it was last sent.
 func (p *processGroup) sendUpdate(other *sibling) error {
 	other.writeMu.Lock()
 	defer other.writeMu.Unlock()
@@ -448,8 +471,8 @@
 	return nil
 }
 
-// assure tells the other processes now what we are about to tell staff, and the last of what we know before our end: SIGTERM may reach
-// them before our next beat.
+// updateSiblingsNow sends an update to the siblings before it returns. It is used before a successful health check is answered and
+// before this process ends: SIGTERM may reach a sibling before the next periodic update.
 func (p *processGroup) updateSiblingsNow() {
 	predecessor, successor, _ := p.siblings()
 	for _, other := range []*sibling{predecessor, successor} {
@@ -459,7 +482,7 @@
 	}
 }
 
-// share leaves the other processes their part of memory and descriptors.
+// shareLimits reduces this process's limits of memory and descriptors to its share while siblings exist.
 func (p *processGroup) shareLimits() {
 	predecessor, successor, heldDescriptors := p.siblings()
 	if predecessor == nil && successor == nil {
@@ -476,23 +499,24 @@
 	p.server.descriptors.shareWith(heldDescriptors)
 }
 
+// lastSiblingGone restores the full limits once this is the only process, and accepts clients.
 func (p *processGroup) lastSiblingGone() {
 	p.hasSibling.Store(false)
 	p.memorySharers.Store(1)
 	p.startAccepting()
 	debug.SetMemoryLimit(p.memoryTenth * memoryLimitTenths)
 	p.server.descriptors.shareWith(-1)
-	p.log.Info("one process is this sidecar")
+	p.log.Info("no other process of this sidecar is connected; the full limits apply again")
 }
 
-// offer lets a new process come, whenever it does.
+// listenForSuccessor opens the handover socket and hands over to each process that connects, until ctx ends.
 func (p *processGroup) listenForSuccessor(ctx context.Context) error {
 	name, release, err := socketName(p.dir)
 	if err != nil {
 		return err
 	}
 	defer release()
-	os.Remove(name) // of a process that is gone: one that is not has told us so
+	os.Remove(name) // left by a process that is gone; a running predecessor has already handed over to this process
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
 	if err != nil {
 		return err
@@ -518,12 +542,13 @@
 	return nil
 }
 
-// hand gives a new process all it needs.
+// handOver sends the listening socket and the handover message to a new process, and then runs it as the successor.
 func (p *processGroup) handOver(ctx context.Context, conn *net.UnixConn) {
 	conn.SetDeadline(time.Now().Add(handoverTimeout))
 	raw, err := p.listener.SyscallConn()
 	if err == nil {
-		// Within Control the descriptor stays open; a copy through File would make it blocking, ours as well.
+		// The descriptor stays open within Control. A duplicate made by File would set the shared socket to blocking mode, in
+		// this process as well.
 		if e := raw.Control(func(fd uintptr) { _, _, err = conn.WriteMsgUnix([]byte("\n"), unix.UnixRights(int(fd)), nil) }); e != nil {
 			err = e
 		}
@@ -532,7 +557,7 @@
 		_, err = conn.Write(append(p.handoverMessage(), '\n'))
 	}
 	if err != nil {
-		p.log.Warn("a new process came and could not be given the door", zap.Error(err))
+		p.log.Warn("handover of the listening socket to a new process failed", zap.Error(err))
 		conn.Close()
 		return
 	}
@@ -540,7 +565,8 @@
 	p.runSibling(ctx, conn, bufio.NewReader(conn), true)
 }
 
-// heritage is what the new process starts from, in discovery's form; a loop that stands still adds no list.
+// handoverMessage returns the state that a new process starts from, with the list in discovery's format. The list is left out if
+// the event loop is stalled.
 func (p *processGroup) handoverMessage() []byte {
 	var a fastjson.Arena
 	v := a.NewObject()
@@ -554,24 +580,25 @@
 	drainedIDs, listedIDs := p.server.loop.operatorDrains.Snapshot()
 	v.Set("out", stringArray(drainedIDs))
 	v.Set("ever", stringArray(listedIDs))
-	// A list that does not fit is told in parts, once the line is joined.
+	// A longer list is sent in parts as an update once the sibling runs.
 	if k, err := p.server.loop.sharedState(handoverTimeout / 3); err == nil && len(k.servers) <= maxHandoverEntries {
 		v.Set("list", k.parts(&a, maxHandoverEntries)[0])
 	}
 	return v.MarshalTo(nil)
 }
 
-// offered is offer for a process that can do without: it is then replaced as if there were none before it.
+// tryListenForSuccessor calls listenForSuccessor and only logs a failure: without the socket, this process is replaced by one that
+// starts as if there were no predecessor.
 func (p *processGroup) tryListenForSuccessor(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
 	}
 	if err := p.listenForSuccessor(ctx); err != nil {
-		p.log.Warn("a new process could not ask for the door", zap.Error(err))
+		p.log.Warn("can't listen on the handover socket; a new process will start without the state of this one", zap.Error(err))
 	}
 }
 
-// shared lets the address be listened at once more, should a new process find this one hung.
+// setReusePort sets SO_REUSEPORT, so that a new process can listen on the same address if it finds this one hung.
 func setReusePort(_, _ string, c syscall.RawConn) (err error) {
 	if e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
 		return e
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -15,24 +15,25 @@
 	"go.uber.org/zap"
 )
 
-// Whoever does not answer as an old process does must not keep a new one from starting.
+// A new process must start in time if no predecessor answers: there is none, or its socket is left over from one that died, or it
+// hangs, ends the connection or sends invalid data.
 func TestHandoverWithoutAPredecessorThatAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		old  func(dir string, ln net.Listener)
-		none bool // as if there were nobody
+		none bool // errNoPredecessor is expected instead of another error
 	}{
-		{"no folder", nil, true},
-		{"nobody", func(string, net.Listener) {}, true},
-		{"dead, its name left behind", func(_ string, ln net.Listener) {
+		{"no directory", nil, true},
+		{"no predecessor", func(string, net.Listener) {}, true},
+		{"dead predecessor whose socket is left over", func(_ string, ln net.Listener) {
 			ln.(*net.UnixListener).SetUnlinkOnClose(false)
 			ln.Close()
 		}, true},
-		{"hangs", func(string, net.Listener) {}, false},
-		{"ends at once", func(_ string, ln net.Listener) {
+		{"predecessor hangs", func(string, net.Listener) {}, false},
+		{"predecessor closes the connection", func(_ string, ln net.Listener) {
 			go func() { c, _ := ln.Accept(); c.Close() }()
 		}, false},
-		{"says what is no heritage", func(_ string, ln net.Listener) {
+		{"predecessor sends invalid data", func(_ string, ln net.Listener) {
 			go func() { c, _ := ln.Accept(); fmt.Fprintln(c, "hello\n{") }()
 		}, false},
 	} {
@@ -41,7 +42,7 @@
 			dir := ""
 			if c.old != nil {
 				dir = t.TempDir()
-				if c.name != "nobody" {
+				if c.name != "no predecessor" {
 					ln, err := net.Listen("unix", filepath.Join(dir, "lynxjunction.sock"))
 					require.NoError(t, err)
 					defer ln.Close()
@@ -53,13 +54,15 @@
 			assert.Nil(t, h)
 			assert.Error(t, err)
 			assert.Equal(t, c.none, err == errNoPredecessor)
-			assert.Less(t, time.Since(started), 2*handoverTimeout, "well within the 6 s")
+			assert.Less(t, time.Since(started), 2*handoverTimeout, "well within the 6 s in which a new process must serve")
 		})
 	}
 }
 
+// A new process takes over the list, the operator drains and the listening socket, both share the descriptors while they are
+// connected, and the old process gets its full share back once the new one is gone.
 func TestHandover(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40)) // longer than the kernel's names
+	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40)) // too long for a Unix socket's name
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s), withConsole(dir))
@@ -77,7 +80,7 @@
 	require.NotNil(t, h.list)
 	assert.Equal(t, endpointList{version: 1, full: true, servers: []listEntry{
 		{id: "s0", addr: s.Addr().String(), zone: "a", cell: 1, running: true, weight: 1}}}, *h.list)
-	// One queue: whoever is connected while the old one closes is taken by the new one.
+	// Both processes share one accept queue: a client that is connected when the old process closes is accepted by the new one.
 	c, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
 	defer c.Close()
@@ -102,10 +105,10 @@
 	assert.Less(t, usable(), descriptors.usableAlone/2)
 	h.conn.Close()
 	assert.Eventually(t, func() bool { return !predecessor.successorReady() && !predecessor.hasSibling.Load() }, 5*time.Second, time.Millisecond)
-	assert.Equal(t, descriptors.usableAlone, usable(), "alone again")
+	assert.Equal(t, descriptors.usableAlone, usable(), "full share again")
 }
 
-// Two processes hold no more together than one may.
+// The processes of one sidecar together must not hold more descriptors than the limit of one.
 func TestProcessesOfOneSidecarShareDescriptors(t *testing.T) {
 	for _, c := range []struct{ limit, mine, others int }{
 		{384, 0, 0}, {384, 20, 40}, {384, 300, 0}, {384, 0, 300}, {384, 100, 100}, {256, 150, 20}, {96, 20, 20},
@@ -114,16 +117,16 @@
 		s.reserved, s.upstreamConns = reservedDescriptors+maxCallers, c.mine
 		s.closeIdleUpstream = func() bool { s.releaseUpstream(); return true }
 		s.shareWith(c.others)
-		assert.LessOrEqual(t, s.upstreamConns, s.usable, "idle ones give way: %+v", c)
+		assert.LessOrEqual(t, s.upstreamConns, s.usable, "idle connections beyond the share are closed: %+v", c)
 		free := c.limit - 2*s.reserved - s.upstreamConns - c.others
-		assert.LessOrEqual(t, s.usable-s.upstreamConns, max(free/2, 2), "half of what is free: %+v", c)
+		assert.LessOrEqual(t, s.usable-s.upstreamConns, max(free/2, 2), "at most half of the free descriptors: %+v", c)
 		assert.GreaterOrEqual(t, s.usable, 2)
 		s.shareWith(-1)
 		assert.Equal(t, s.usableAlone, s.usable)
 	}
 }
 
-// A new process says yes once its own watch has told something, or has had its time.
+// The health check of a new process succeeds once its own watch has delivered an update, or maxOwnWatchWait has passed.
 func TestNotReadyBeforeItsOwnWatchReportsAList(t *testing.T) {
 	d := newStubEndpoint(t, neverAnswer)
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), func(s *Config) {
@@ -141,28 +144,28 @@
 	assert.Eventually(t, r.front.servesAlone, 5*time.Second, time.Millisecond)
 }
 
-// A drain that the old process was told after it had handed over its list is not known to the new one, which sent requests there
-// until its own watch told it (seen by the soak: a drain during a hand-over, three faulty calls). It leaves the clients to the
-// old one until then, unless that hangs or is gone.
+// A drain of which the old process is notified after it has handed over its list is not known to the new process, which sent
+// requests to that endpoint until its own watch reported the drain (found by the soak test: a drain during a handover, three failed
+// calls). The new process leaves the clients to the old one until then, unless that hangs or is gone.
 func TestNewProcessAcceptsNoClientsBeforeItsOwnList(t *testing.T) {
 	for name, confirm := range map[string]func(r *testSidecar, p *processGroup){
-		"its own list":           func(r *testSidecar, _ *processGroup) { r.loop.watchHeard.Store(true) },
-		"the old one is gone":    func(_ *testSidecar, p *processGroup) { p.lastSiblingGone() },
-		"it has waited its time": func(_ *testSidecar, p *processGroup) { p.startedAt = time.Now().Add(-maxOwnWatchWait) },
+		"own list received":       func(r *testSidecar, _ *processGroup) { r.loop.watchHeard.Store(true) },
+		"old process is gone":     func(_ *testSidecar, p *processGroup) { p.lastSiblingGone() },
+		"maxOwnWatchWait is over": func(_ *testSidecar, p *processGroup) { p.startedAt = time.Now().Add(-maxOwnWatchWait) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
 			assert.Eventually(t, func() bool { return r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
 			r.loop.watchHeard.Store(false)
 			p := &processGroup{server: r.front, memoryTenth: 10 << 20, log: zap.NewNop(), tookOver: true, startedAt: time.Now()}
-			if name == "it has waited its time" {
+			if name == "maxOwnWatchWait is over" {
 				confirm(r, p)
 			}
 			p.acceptWhenListConfirmed(t.Context())
-			if name != "it has waited its time" {
+			if name != "maxOwnWatchWait is over" {
 				time.Sleep(3 * updateInterval)
-				assert.True(t, r.front.listener.Load().isPaused(), "the old process takes the clients")
-				p.setPaused(false) // the old one says that it is there
+				assert.True(t, r.front.listener.Load().isPaused(), "the old process accepts the clients")
+				p.setPaused(false) // as after an update from the old process
 				assert.True(t, r.front.listener.Load().isPaused())
 				confirm(r, p)
 			}
@@ -171,8 +174,8 @@
 	}
 }
 
-// Transfers under way would be cut off when the old process ends: the new one takes all clients first, and says yes when
-// the old one has none left. Should the new one die meanwhile, the old one opens its door again.
+// Running transfers would be cut off when the old process ends. Therefore the new process first accepts all clients, and its health
+// check succeeds only when the old process has no transfers left. If the new process dies meanwhile, the old one accepts clients again.
 func TestNotReadyWhileThePredecessorHasTransfers(t *testing.T) {
 	dir := t.TempDir()
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(dir))
@@ -188,26 +191,26 @@
 	p := &processGroup{dir: dir, memoryTenth: 10 << 20, server: successor.front, log: zap.NewNop(), tookOver: true, startedAt: time.Now()}
 	p.predecessorTransfers.Store(-1)
 	successor.loop.watchHeard.Store(true)
-	assert.Eventually(t, successor.front.servesAlone, 5*time.Second, time.Millisecond, "alone")
+	assert.Eventually(t, successor.front.servesAlone, 5*time.Second, time.Millisecond, "ready without a predecessor")
 	done := make(chan bool)
 	successor.loop.post(loopFunc(func(*loop) { close(done) }))
 	<-done
 	successor.front.pair = p
 	go p.runSibling(t.Context(), h.conn, h.reader, false)
-	assert.Eventually(t, listener.isPaused, 5*time.Second, time.Millisecond, "the old one takes nobody any more")
+	assert.Eventually(t, listener.isPaused, 5*time.Second, time.Millisecond, "the old process no longer accepts clients")
 	assert.Eventually(t, func() bool { return p.predecessorTransfers.Load() == 1 }, 5*time.Second, time.Millisecond)
-	assert.False(t, successor.front.servesAlone(), "not while the old one has a transfer")
-	c := r.dial() // it waits in the queue that both have
+	assert.False(t, successor.front.servesAlone(), "not while the old process has a transfer")
+	c := r.dial() // it waits in the accept queue that both processes share
 	c.Write([]byte(requestText("1", "GET", "look", "")))
 	r.front.transfers.Add(-1)
 	assert.Eventually(t, successor.front.servesAlone, 5*time.Second, time.Millisecond)
 	assert.True(t, predecessor.successorReady())
 	p.startedAt = time.Now().Add(-maxTransferWait)
 	p.predecessorTransfers.Store(7)
-	assert.True(t, p.predecessorDrained(), "it was waited for long enough")
+	assert.True(t, p.predecessorDrained(), "maxTransferWait has passed")
 	h.conn.Close()
 	got, body := exchangeOn(c, "")
 	require.NotNil(t, got, body)
-	assert.Equal(t, 200, got.StatusCode, "the new one died: the old one takes who waits")
+	assert.Equal(t, 200, got.StatusCode, "the new process died: the old one accepts the waiting client")
 	assert.False(t, listener.isPaused())
 }
