--- a/cmd/lab/summary.go
+++ b/cmd/lab/summary.go
@@ -48,7 +48,7 @@
 		r.Verdict += fmt.Sprintf("; the machine was too busy: clients were late by %.0f ms (p99), %.0f at most, so believe no wait", late, most)
 	}
 	all := book.Service(0, s.Length*1000+1, -1)
-	r.Facts = [][2]string{{"sidecars, endpoints", fmt.Sprintf("%d, %d", s.Fleet.Sidecars, len(s.Places()))}, {"length", fmt.Sprintf("%g s", s.Length)},
+	r.Facts = [][2]string{{"sidecars, endpoints", fmt.Sprintf("%d, %d", s.Fleet.Sidecars, len(s.EndpointNodes()))}, {"length", fmt.Sprintf("%g s", s.Length)},
 		{"exchanges", fmt.Sprint(all.Asked)}, {"the rehearsal's own lateness", fmt.Sprintf("%.1f ms (p99), %.0f ms at most", late, most)}}
 	r.Tables = append(r.Tables, services(s, book), spreads(s, book))
 	if out := book.Outages(); len(out) > 0 {
--- a/internal/rig/client.go
+++ b/internal/rig/client.go
@@ -91,7 +91,7 @@
 }
 
 // ask asks for one exchange and enters what became of it.
-func (c *client) ask(a scenario.Ask) {
+func (c *client) ask(a scenario.Arrival) {
 	c.mu.Lock()
 	off := c.off
 	c.mu.Unlock()
@@ -109,7 +109,7 @@
 		extra += "Idempotency-Key: " + keyOf(a.ID) + "\r\n"
 	}
 	text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nRequest-Timeout: %.0fm\r\n%s\r\n",
-		method, p.Name, a.ID, p.Name, p.Abandon, extra)
+		method, p.Name, a.ID, p.Name, p.AbandonTime, extra)
 	sent := 0.0
 	for try := 0; ; try++ {
 		l, err := c.take(try > 0)
@@ -121,7 +121,7 @@
 			return
 		}
 		used := l.used
-		l.SetDeadline(time.Now().Add(time.Duration(p.Abandon+answerLast) * time.Millisecond))
+		l.SetDeadline(time.Now().Add(time.Duration(p.AbandonTime+answerLast) * time.Millisecond))
 		patience, way := c.rig.patience(a)
 		if way&1 == 1 && patience > 0 { // more behind it: a part of another request
 			text += "GET /" + p.Name + " HTTP/1.1\r\nHost: h\r\n"
@@ -184,12 +184,12 @@
 
 // patience is how long a client waits that will leave early, and in which way it does; 0 for who waits its time. Every other
 // one of a sidecar's clients leaves while the fault lasts.
-func (r *Rig) patience(a scenario.Ask) (wait time.Duration, way uint64) {
+func (r *Rig) patience(a scenario.Arrival) (wait time.Duration, way uint64) {
 	dice := r.s.SeedOf("leaves " + a.ID)
 	most := 0.0
 	for n := range r.s.Faults {
 		f := &r.s.Faults[n]
-		if now := r.now() / 1000; f.What == "leave" && now >= f.At && now < f.Done() && r.leaves(n, a.Sidecar) {
+		if now := r.now() / 1000; f.Kind == "leave" && now >= f.At && now < f.End() && r.leaves(n, a.Sidecar) {
 			most = f.Size
 		}
 	}
@@ -201,8 +201,8 @@
 }
 
 func (r *Rig) leaves(n, sidecar int) bool {
-	who, _ := r.s.Chosen(n)
-	return slices.ContainsFunc(who, func(p scenario.Place) bool { return p.Number == sidecar })
+	who, _ := r.s.FaultTargets(n)
+	return slices.ContainsFunc(who, func(p scenario.Node) bool { return p.Number == sidecar })
 }
 
 // isShut tells that a connection was ended before a byte of an answer came.
--- a/internal/rig/crowd.go
+++ b/internal/rig/crowd.go
@@ -95,7 +95,7 @@
 	now := r.now()
 	for n := range r.s.Faults {
 		f := &r.s.Faults[n]
-		if who, _ := r.s.Chosen(n); isCrowd(f.What) && has(who, sidecar) && now >= f.At*1000 && now < f.Done()*1000+outageSlack {
+		if who, _ := r.s.FaultTargets(n); isCrowd(f.Kind) && has(who, sidecar) && now >= f.At*1000 && now < f.End()*1000+outageSlack {
 			return true
 		}
 	}
--- a/internal/rig/crowd_test.go
+++ b/internal/rig/crowd_test.go
@@ -66,11 +66,11 @@
 func TestRequestsAreServedBesideOtherCrowds(t *testing.T) {
 	sound := plainProgram(t)
 	for name, change := range map[string]func(s *scenario.Scenario){
-		"half heads": func(s *scenario.Scenario) { s.Faults[0].What, s.Faults[0].Size = string(crowdHeads), 600 },
-		"drip":       func(s *scenario.Scenario) { s.Faults[0].What, s.Faults[0].Size = string(crowdDrip), 600 },
-		"kept":       func(s *scenario.Scenario) { s.Faults[0].What, s.Faults[0].Size = string(crowdKept), 600 },
+		"half heads": func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(crowdHeads), 600 },
+		"drip":       func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(crowdDrip), 600 },
+		"kept":       func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(crowdKept), 600 },
 		"hand-over": func(s *scenario.Scenario) {
-			s.Faults = append(s.Faults, scenario.Fault{What: "upgrade", At: 3, Who: []string{"s0"}})
+			s.Faults = append(s.Faults, scenario.Fault{Kind: "upgrade", At: 3, Targets: []string{"s0"}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) { playCrowd(t, sound, change) })
--- a/internal/rig/endpoint.go
+++ b/internal/rig/endpoint.go
@@ -20,7 +20,7 @@
 
 // endpoint is one of the platform's.
 type endpoint struct {
-	scenario.Place
+	scenario.Node
 	number int // in the book, and of its address
 	addr   string
 	rig    *Rig
@@ -38,19 +38,19 @@
 	gone   bool
 }
 
-func (r *Rig) newEndpoint(p scenario.Place, name string, cold bool) (*endpoint, error) {
+func (r *Rig) newEndpoint(p scenario.Node, name string, cold bool) (*endpoint, error) {
 	now := r.now()
 	p.Name = name
-	e := &endpoint{Place: p, rig: r, waiting: map[uint64]chan bool{}, conns: map[net.Conn]bool{}}
+	e := &endpoint{Node: p, rig: r, waiting: map[uint64]chan bool{}, conns: map[net.Conn]bool{}}
 	started := -1e12
 	if cold {
 		started = now
 	}
 	e.number = r.book.Endpoint(name, now)
 	e.addr = r.block.at(rowEndpoint, e.number)
-	e.model = emulator.New(r.s.Kind(p), r.s.SeedOf(name), started, now)
+	e.model = emulator.New(r.s.EmulatorKind(p), r.s.SeedOf(name), started, now)
 	e.timer = time.AfterFunc(time.Hour, e.beat)
-	e.web = &http.Server{Handler: e, IdleTimeout: scenario.IdleClose, ConnState: e.follow, ErrorLog: e.rig.webLog(),
+	e.web = &http.Server{Handler: e, IdleTimeout: scenario.EndpointIdleTimeout, ConnState: e.follow, ErrorLog: e.rig.webLog(),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
 	return e, e.open()
 }
@@ -74,7 +74,7 @@
 	defer e.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		if len(e.conns) >= e.rig.s.Endpoints[e.Group].Conns || e.gone {
+		if len(e.conns) >= e.rig.s.Endpoints[e.GroupIndex].MaxConnections || e.gone {
 			cut(c)
 			return
 		}
@@ -175,7 +175,7 @@
 	e.rig.book.Arrive(l)
 	work := l.Work
 	if l.Fresh {
-		work += e.rig.s.Endpoints[e.Group].Handshake
+		work += e.rig.s.Endpoints[e.GroupIndex].HandshakeWork
 	}
 	e.model.Advance(e.rig.now(), e.done)
 	e.jobs++
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -30,7 +30,7 @@
 // play does one fault, one after the other where it is done to several with a step, and ends it.
 func (r *Rig) play(ctx context.Context, n int) {
 	f := &r.s.Faults[n]
-	who, to := r.s.Chosen(n)
+	who, to := r.s.FaultTargets(n)
 	if !r.sleep(ctx, f.At*1000) {
 		return
 	}
@@ -38,39 +38,39 @@
 	for _, p := range who {
 		names = append(names, p.Name)
 	}
-	text := f.What + " " + shorten(names)
+	text := f.Kind + " " + shorten(names)
 	r.Say(r.now(), text)
 	switch {
-	case f.What == "list-off":
+	case f.Kind == "list-off":
 		r.lists.down(1)
-		r.sleep(ctx, f.Done()*1000)
+		r.sleep(ctx, f.End()*1000)
 		r.lists.down(-1)
-	case f.What == "list-spoil":
+	case f.Kind == "list-spoil":
 		r.lists.spoilNext(int(f.Size))
-	case f.What == "list-busy":
+	case f.Kind == "list-busy":
 		r.lists.busy(time.Duration(f.Size * float64(time.Second)))
-		r.sleep(ctx, f.Done()*1000)
+		r.sleep(ctx, f.End()*1000)
 		r.lists.busy(0)
-	case f.What == "list-late":
+	case f.Kind == "list-late":
 		r.lists.delay(n, time.Duration(f.Size*float64(time.Second)))
-		r.sleep(ctx, f.Done()*1000)
+		r.sleep(ctx, f.End()*1000)
 		r.lists.delay(n, 0)
-	case isWatchFault(f.What):
-		r.lists.setWatchFault(n, f.What, f.Size)
-		r.sleep(ctx, f.Done()*1000)
+	case isWatchFault(f.Kind):
+		r.lists.setWatchFault(n, f.Kind, f.Size)
+		r.sleep(ctx, f.End()*1000)
 		r.lists.clearWatchFault(n)
 	default:
 		var each sync.WaitGroup
 		for k, p := range who {
 			each.Go(func() {
-				if r.sleep(ctx, (f.At+float64(k)*f.Step)*1000) {
+				if r.sleep(ctx, (f.At+float64(k)*f.Stagger)*1000) {
 					r.one(ctx, n, f, p, to)
 				}
 			})
 		}
 		each.Wait()
 	}
-	if f.For > 0 {
+	if f.Duration > 0 {
 		r.Say(r.now(), "end of "+text)
 	}
 }
@@ -83,28 +83,28 @@
 }
 
 // one does a fault to one of those it is done to, and ends it.
-func (r *Rig) one(ctx context.Context, n int, f *scenario.Fault, p scenario.Place, to []scenario.Place) {
-	until := (f.Done())*1000 + math.Max(0, r.now()-f.At*1000)
-	if f.Step == 0 {
-		until = f.Done() * 1000
+func (r *Rig) one(ctx context.Context, n int, f *scenario.Fault, p scenario.Node, to []scenario.Node) {
+	until := (f.End())*1000 + math.Max(0, r.now()-f.At*1000)
+	if f.Stagger == 0 {
+		until = f.End() * 1000
 	}
 	switch {
-	case f.OnLink():
+	case f.IsLinkFault():
 		r.onLink(ctx, n, f, p, until)
-	case f.What == "slow" || f.What == "hang" || f.What == "errors":
+	case f.Kind == "slow" || f.Kind == "hang" || f.Kind == "errors":
 		r.mu.Lock()
 		e := r.current[p.Name]
 		r.mu.Unlock()
-		fault := emulator.Fault{Hang: f.What == "hang"}
-		if f.What == "slow" {
+		fault := emulator.Fault{Hang: f.Kind == "hang"}
+		if f.Kind == "slow" {
 			fault.Slow = f.Size
-		} else if f.What == "errors" {
+		} else if f.Kind == "errors" {
 			fault.Errors = f.Size
 		}
 		e.alter(func(m *emulator.Endpoint) { m.Set(n, fault) })
 		r.sleep(ctx, until)
 		e.alter(func(m *emulator.Endpoint) { m.Clear(n) })
-	case f.What == "crash":
+	case f.Kind == "crash":
 		r.mu.Lock()
 		e := r.current[p.Name]
 		r.mu.Unlock()
@@ -114,9 +114,9 @@
 			r.fail(err)
 		}
 		r.lists.say(listed{ID: e.Name, Zone: p.Zone, Cell: 1, State: "in_service", Weight: 1, Started: float64(time.Now().UnixMilli()), number: e.number})
-	case f.What == "drain" || f.What == "replace":
+	case f.Kind == "drain" || f.Kind == "replace":
 		r.drain(ctx, f, p)
-	case f.What == "maint":
+	case f.Kind == "maint":
 		r.byHand(ctx, p, to, until)
 	default:
 		r.onSidecar(ctx, f, p.Number, until)
@@ -124,14 +124,14 @@
 }
 
 // drain takes an endpoint off the list; a replacement starts at once, cold.
-func (r *Rig) drain(ctx context.Context, f *scenario.Fault, p scenario.Place) {
+func (r *Rig) drain(ctx context.Context, f *scenario.Fault, p scenario.Node) {
 	r.mu.Lock()
 	e := r.current[p.Name]
 	r.mu.Unlock()
 	entry := listed{ID: e.Name, Zone: p.Zone, Cell: 1, State: "terminating", Weight: 1, number: e.number}
 	r.book.Out(e.number, r.now())
 	r.lists.say(entry)
-	if f.What == "replace" {
+	if f.Kind == "replace" {
 		if _, err := r.addEndpoint(p, e.Name+"n", true); err != nil {
 			r.fail(err)
 			return
@@ -146,7 +146,7 @@
 }
 
 // byHand takes endpoints out at one sidecar's console, and puts them back.
-func (r *Rig) byHand(ctx context.Context, p scenario.Place, to []scenario.Place, until float64) {
+func (r *Rig) byHand(ctx context.Context, p scenario.Node, to []scenario.Node, until float64) {
 	for _, word := range []string{"maint", "ready"} {
 		for _, t := range to {
 			r.mu.Lock()
@@ -181,11 +181,11 @@
 		return
 	}
 	owed := float64((r.longest() + killAfter).Milliseconds())
-	switch f.What {
+	switch f.Kind {
 	case "leave": // done by the clients, which look at the scenario
 		r.sleep(ctx, until)
 	case string(crowdMixed), string(crowdHeads), string(crowdDrip), string(crowdKept):
-		r.crowd(ctx, crowdKind(f.What), s, int(f.Size), until)
+		r.crowd(ctx, crowdKind(f.Kind), s, int(f.Size), until)
 	case "reload":
 		p.Process.Signal(syscall.SIGHUP)
 	case "move":
@@ -296,10 +296,10 @@
 }
 
 // onLink puts a fault on the links of one sidecar.
-func (r *Rig) onLink(ctx context.Context, n int, f *scenario.Fault, p scenario.Place, until float64) {
-	fault := links.Fault{Way: map[string]links.Way{"": links.Both, "there": links.There, "back": links.Back}[f.Way]}
+func (r *Rig) onLink(ctx context.Context, n int, f *scenario.Fault, p scenario.Node, until float64) {
+	fault := links.Fault{Way: map[string]links.Way{"": links.Both, "there": links.There, "back": links.Back}[f.Direction]}
 	ms := time.Duration(f.Size * float64(time.Millisecond))
-	switch f.What {
+	switch f.Kind {
 	case "cut":
 		fault.Cut = true
 	case "silent":
@@ -313,14 +313,14 @@
 	case "lose":
 		fault.Way, fault.Lose = links.Back, f.Size
 	}
-	if f.Over == "clients" {
-		r.book.Excuse(p.Number, r.now(), until+outageSlack, f.What+" between client and sidecar")
+	if f.Link == "clients" {
+		r.book.Excuse(p.Number, r.now(), until+outageSlack, f.Kind+" between client and sidecar")
 	}
 	chosen := r.linksOf(n, f, p.Number)
 	var all sync.WaitGroup
 	for _, l := range chosen {
 		all.Go(func() {
-			if f.What == "reset" {
+			if f.Kind == "reset" {
 				l.Reset()
 			} else {
 				l.Set(n, fault)
@@ -328,7 +328,7 @@
 		})
 	}
 	all.Wait()
-	if f.What == "reset" {
+	if f.Kind == "reset" {
 		return
 	}
 	r.sleep(ctx, until)
@@ -339,7 +339,7 @@
 
 // linksOf are the links that a fault is on, of one sidecar. Those upstream are its class's.
 func (r *Rig) linksOf(n int, f *scenario.Fault, sidecar int) (chosen []*links.Link) {
-	switch f.Over {
+	switch f.Link {
 	case "list":
 		return []*links.Link{r.links.list[sidecar]}
 	case "clients":
--- a/internal/rig/handover_test.go
+++ b/internal/rig/handover_test.go
@@ -15,20 +15,22 @@
 // it heard its own list at 8.3 s: 38 and more attempts past the grace. The same where discovery is slow and no other fault, where it is
 // away over the hand-over, where a second hand-over follows soon, and where it is the new process that hears first and dies.
 func TestBothProcessesKnowWhatOneWasTold(t *testing.T) {
-	drain := func(at float64, who ...string) scenario.Fault { return scenario.Fault{What: "drain", At: at, Who: who} }
+	drain := func(at float64, who ...string) scenario.Fault {
+		return scenario.Fault{Kind: "drain", At: at, Targets: who}
+	}
 	for name, faults := range map[string][]scenario.Fault{
 		"spoilt answers": {
-			{What: "list-off", At: 0.9, For: 2.41}, {What: "list-spoil", At: 3.8, Size: 5}, drain(4.3, "e0"), drain(4.57, "e2"),
+			{Kind: "list-off", At: 0.9, Duration: 2.41}, {Kind: "list-spoil", At: 3.8, Size: 5}, drain(4.3, "e0"), drain(4.57, "e2"),
 		},
-		"a slow discovery": {{What: "list-busy", At: 0.5, For: 9, Size: 12}, drain(2, "e0", "e4"), drain(3, "e2")},
+		"a slow discovery": {{Kind: "list-busy", At: 0.5, Duration: 9, Size: 12}, drain(2, "e0", "e4"), drain(3, "e2")},
 		"discovery away": {
-			{What: "list-off", At: 1.2, For: 5.3}, {What: "list-busy", At: 6.4, For: 5, Size: 3.6}, drain(6.75, "e0", "e2"), drain(7, "e4"),
+			{Kind: "list-off", At: 1.2, Duration: 5.3}, {Kind: "list-busy", At: 6.4, Duration: 5, Size: 3.6}, drain(6.75, "e0", "e2"), drain(7, "e4"),
 		},
 		"a second hand-over": {
-			{What: "list-off", At: 0.9, For: 0.6}, {What: "upgrade", At: 4.5, Who: []string{"s0"}}, {What: "list-busy", At: 4.4, For: 7, Size: 12},
+			{Kind: "list-off", At: 0.9, Duration: 0.6}, {Kind: "upgrade", At: 4.5, Targets: []string{"s0"}}, {Kind: "list-busy", At: 4.4, Duration: 7, Size: 12},
 			drain(5, "e0"), drain(6, "e2"),
 		},
-		"a new process that dies": {{What: "upgrade-fails", At: 4, For: 3, Who: []string{"s1"}}, {What: "list-late", At: 3, For: 8, Size: 1.5}, drain(4.5, "e0", "e2")},
+		"a new process that dies": {{Kind: "upgrade-fails", At: 4, Duration: 3, Targets: []string{"s1"}}, {Kind: "list-late", At: 3, Duration: 8, Size: 1.5}, drain(4.5, "e0", "e2")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/rig/list.go
+++ b/internal/rig/list.go
@@ -192,7 +192,7 @@
 func (r *Rig) listLinkFaulty(sidecar int, from, to float64) bool {
 	for f := range r.s.Faults {
 		o := &r.s.Faults[f]
-		if who, _ := r.s.Chosen(f); o.Over == "list" && has(who, sidecar) && to >= o.At*1000 && from < o.Done()*1000+outageSlack {
+		if who, _ := r.s.FaultTargets(f); o.Link == "list" && has(who, sidecar) && to >= o.At*1000 && from < o.End()*1000+outageSlack {
 			return true
 		}
 	}
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -157,7 +157,7 @@
 
 // config writes a sidecar's start file.
 func (r *Rig) config(n int, path string) error {
-	zone := r.s.Sidecars()[n].Zone
+	zone := r.s.SidecarNodes()[n].Zone
 	known, _ := r.lists.since(n, -1)
 	discovery := r.block.at(rowList, n)
 	if r.lists.hasMoved(n) {
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -141,10 +141,10 @@
 	if r.Say == nil {
 		r.Say = func(float64, string) {}
 	}
-	terms := records.Terms{Grace: grace, Drain: s.Fleet.DrainGrace + socketSlack, Free: s.Fleet.ExtraFree, Ratio: s.Fleet.ExtraRatio, LookBack: s.Fleet.LookBack * 1000,
-		SoundShare: s.Fleet.SoundShare}
+	terms := records.Terms{Grace: grace, Drain: s.Fleet.DrainGrace + socketSlack, Free: s.Fleet.ExtraFree, Ratio: s.Fleet.ExtraRatio, LookBack: s.Fleet.BudgetWindow * 1000,
+		SoundShare: s.Fleet.HealthyShare}
 	for _, p := range s.Products {
-		terms.Products = append(terms.Products, records.Product{Name: p.Name, Expected: p.Expected, Abandon: p.Abandon,
+		terms.Products = append(terms.Products, records.Product{Name: p.Name, Expected: p.ExpectedTime, Abandon: p.AbandonTime,
 			SingleUse: p.Effect == "single-use", Referenced: p.Effect == "referenced"})
 	}
 	r.book = records.New(terms)
@@ -207,7 +207,7 @@
 	}
 	r.zero.Store(int64(time.Since(r.began)))
 	for n, e := range r.endpoints {
-		e.model = emulator.New(r.s.Kind(e.Place), r.s.SeedOf(e.Name), -1e12, 0)
+		e.model = emulator.New(r.s.EmulatorKind(e.Node), r.s.SeedOf(e.Name), -1e12, 0)
 		r.book.Began(n, 0)
 		e.mu.Unlock()
 	}
@@ -216,7 +216,7 @@
 // build opens all that stands round the sidecars.
 func (r *Rig) build() error {
 	r.classify()
-	for _, p := range r.s.Places() {
+	for _, p := range r.s.EndpointNodes() {
 		if _, err := r.addEndpoint(p, p.Name, false); err != nil {
 			return err
 		}
@@ -262,7 +262,7 @@
 	for s := range n {
 		mine := []int{}
 		for f := range r.s.Faults {
-			if who, _ := r.s.Chosen(f); r.s.Faults[f].Over == "upstream" && has(who, s) {
+			if who, _ := r.s.FaultTargets(f); r.s.Faults[f].Link == "upstream" && has(who, s) {
 				mine = append(mine, f)
 			}
 		}
@@ -277,14 +277,14 @@
 	}
 }
 
-func has(places []scenario.Place, number int) bool {
-	return slices.ContainsFunc(places, func(p scenario.Place) bool { return p.Number == number })
+func has(places []scenario.Node, number int) bool {
+	return slices.ContainsFunc(places, func(p scenario.Node) bool { return p.Number == number })
 }
 
 // named tells whether a fault of such links names a sidecar.
 func (r *Rig) named(over string, sidecar int) bool {
 	for f := range r.s.Faults {
-		if who, _ := r.s.Chosen(f); r.s.Faults[f].Over == over && has(who, sidecar) {
+		if who, _ := r.s.FaultTargets(f); r.s.Faults[f].Link == over && has(who, sidecar) {
 			return true
 		}
 	}
@@ -293,11 +293,11 @@
 
 // hits tells whether a fault's links lead to an endpoint. One that replaced another has no number of the scenario's.
 func (r *Rig) hits(f int, e *endpoint) bool {
-	_, to := r.s.Chosen(f)
-	return len(r.s.Faults[f].To) == 0 || e.Name == r.s.Places()[e.Place.Number].Name && has(to, e.Place.Number)
+	_, to := r.s.FaultTargets(f)
+	return len(r.s.Faults[f].RemoteEndpoints) == 0 || e.Name == r.s.EndpointNodes()[e.Node.Number].Name && has(to, e.Node.Number)
 }
 
-func (r *Rig) addEndpoint(p scenario.Place, name string, cold bool) (*endpoint, error) {
+func (r *Rig) addEndpoint(p scenario.Node, name string, cold bool) (*endpoint, error) {
 	e, err := r.newEndpoint(p, name, cold)
 	if err != nil {
 		return nil, err
@@ -344,8 +344,8 @@
 	at := r.now()
 	for f := range r.s.Faults {
 		o := &r.s.Faults[f]
-		if who, _ := r.s.Chosen(f); o.Over == "list" && has(who, sidecar) && at >= o.At*1000 && at < o.Done()*1000+outageSlack {
-			at = max(at, o.Done()*1000+r.s.Fleet.AskWithin*1000)
+		if who, _ := r.s.FaultTargets(f); o.Link == "list" && has(who, sidecar) && at >= o.At*1000 && at < o.End()*1000+outageSlack {
+			at = max(at, o.End()*1000+r.s.Fleet.AskWithin*1000)
 		}
 	}
 	for _, e := range entries {
@@ -359,13 +359,13 @@
 func (r *Rig) slack(sidecar, number int, at float64) (ms float64) {
 	for f := range r.s.Faults {
 		o := &r.s.Faults[f]
-		if o.Over != "upstream" && o.What != "stop" || at < o.At*1000 || at > o.Done()*1000+outageSlack {
+		if o.Link != "upstream" && o.Kind != "stop" || at < o.At*1000 || at > o.End()*1000+outageSlack {
 			continue
 		}
-		if who, _ := r.s.Chosen(f); !has(who, sidecar) {
+		if who, _ := r.s.FaultTargets(f); !has(who, sidecar) {
 			continue
 		}
-		if o.What == "delay" || o.What == "jitter" {
+		if o.Kind == "delay" || o.Kind == "jitter" {
 			ms += 2 * o.Size // a connection comes up before
 		} else {
 			ms = math.Inf(1)
@@ -440,7 +440,7 @@
 // traffic asks for all exchanges when they are due, and waits for the last one's end.
 func (r *Rig) traffic(ctx context.Context) {
 	var out sync.WaitGroup
-	for _, a := range r.s.Asks() {
+	for _, a := range r.s.Arrivals() {
 		if wait := a.At - r.now(); wait > 0 {
 			select {
 			case <-ctx.Done():
@@ -480,7 +480,7 @@
 func (r *Rig) longest() time.Duration {
 	most := 0.0
 	for _, p := range r.s.Products {
-		most = max(most, p.Abandon)
+		most = max(most, p.AbandonTime)
 	}
 	return time.Duration(most * float64(time.Millisecond))
 }
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -78,7 +78,7 @@
 		assert.NotContains(t, e.Text, "no yes")
 	}
 	for _, f := range result.Scenario.Faults {
-		assert.Contains(t, done.String(), f.What)
+		assert.Contains(t, done.String(), f.Kind)
 	}
 	assert.Len(t, result.Usage, 6+8, "one killed, one restarted, one upgraded, then all but one at once")
 }
--- a/internal/rig/sound.go
+++ b/internal/rig/sound.go
@@ -21,17 +21,17 @@
 func (r *Rig) sound(sidecar int, from, to float64) bool {
 	for n := range r.s.Faults {
 		f := &r.s.Faults[n]
-		who, _ := r.s.Chosen(n)
-		begins, ends := f.At*1000, f.Done()*1000+afterEffect
-		if f.Step > 0 {
-			ends += f.Step * 1000 * float64(len(who))
+		who, _ := r.s.FaultTargets(n)
+		begins, ends := f.At*1000, f.End()*1000+afterEffect
+		if f.Stagger > 0 {
+			ends += f.Stagger * 1000 * float64(len(who))
 		}
-		hit := slices.Contains(unsoundEndpoints, f.What)
+		hit := slices.Contains(unsoundEndpoints, f.Kind)
 		switch {
-		case slices.Contains(unsoundSidecars, f.What):
+		case slices.Contains(unsoundSidecars, f.Kind):
 			hit = has(who, sidecar)
 			ends += downtime + float64((r.longest() + killAfter).Milliseconds())
-		case f.OnLink() && f.Over != "list":
+		case f.IsLinkFault() && f.Link != "list":
 			hit = has(who, sidecar)
 		}
 		if hit && from < ends && to > begins {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -33,79 +33,79 @@
 
 // Fleet is the sidecars and what their clients ask of them.
 type Fleet struct {
-	Sidecars   int      `toml:"sidecars"`
-	Rate       float64  `toml:"rate"`        // exchanges a second, mean of all sidecars
-	Heavy      float64  `toml:"heavy"`       // share of sidecars that see more
-	HeavyTimes float64  `toml:"heavy_times"` // times what the others see
-	Zones      []string `toml:"zones"`
-	Cores      float64  `toml:"cores"` // of each sidecar; 1
-	MemoryMB   int      `toml:"memory_mb"`
-	Sockets    int      `toml:"sockets"`
-	MaxLegs    int      `toml:"max_legs"`
-	ExtraFree  float64  `toml:"extra_free"` // budget of legs beyond the first: so many and
-	ExtraRatio float64  `toml:"extra_ratio"`
-	LookBack   float64  `toml:"look_back_s"` // so many for each exchange taken, within this time; 0 for no budget
-	CrossPrice float64  `toml:"cross_zone_price"`
-	AskWithin  float64  `toml:"ask_within_s"`             // a change of the list counts as told after that; 4
-	DrainGrace float64  `toml:"drain_grace_ms,omitempty"` // after the telling of a drain, in which something new may still begin; 1000
-	SoundShare float64  `toml:"sound_share"`              // of requests to be served in time while endpoints, links and cores are sound; 0 for none
+	Sidecars       int      `toml:"sidecars"`
+	Rate           float64  `toml:"rate"`        // exchanges a second, mean of all sidecars
+	HeavyShare     float64  `toml:"heavy"`       // share of sidecars that see more
+	HeavyFactor    float64  `toml:"heavy_times"` // times what the others see
+	Zones          []string `toml:"zones"`
+	Cores          float64  `toml:"cores"` // of each sidecar; 1
+	MemoryMB       int      `toml:"memory_mb"`
+	Sockets        int      `toml:"sockets"`
+	MaxLegs        int      `toml:"max_legs"`
+	ExtraFree      float64  `toml:"extra_free"` // budget of legs beyond the first: so many and
+	ExtraRatio     float64  `toml:"extra_ratio"`
+	BudgetWindow   float64  `toml:"look_back_s"` // so many for each exchange taken, within this time; 0 for no budget
+	CrossZonePrice float64  `toml:"cross_zone_price"`
+	AskWithin      float64  `toml:"ask_within_s"`             // a change of the list counts as told after that; 4
+	DrainGrace     float64  `toml:"drain_grace_ms,omitempty"` // after the telling of a drain, in which something new may still begin; 1000
+	HealthyShare   float64  `toml:"sound_share"`              // of requests to be served in time while endpoints, links and cores are sound; 0 for none
 }
 
 // Group is endpoints of one kind.
 type Group struct {
-	Name       string    `toml:"name"`
-	Count      int       `toml:"count"`
-	Cores      int       `toml:"cores"`  // 1
-	Speeds     []float64 `toml:"speeds"` // of the endpoints in turn; 1
-	Slots      int       `toml:"slots"`  // in work at once; as many as cores
-	Room       int       `toml:"room"`   // waiting; 32
-	ColdFrom   float64   `toml:"cold_from"`
-	Cold       float64   `toml:"cold_s"`
-	PauseEvery float64   `toml:"pause_every_s"`
-	Pause      float64   `toml:"pause_ms"`
-	Errors     float64   `toml:"errors"`
-	CrowdAt    int       `toml:"crowd_at"`
-	CrowdSlow  float64   `toml:"crowd_slow"`
-	Rest       float64   `toml:"rest_s"`
-	FallOver   float64   `toml:"fall_multiple"`
-	FallWithin float64   `toml:"fall_s"`
-	FallSlack  bool      `toml:"fall_slack"` // a fall has the slack of the operators' term
-	Down       float64   `toml:"down_s"`
-	Conns      int       `toml:"connections"`
-	Handshake  float64   `toml:"handshake_ms"` // of work, with the first exchange on a connection
+	Name             string    `toml:"name"`
+	Count            int       `toml:"count"`
+	Cores            int       `toml:"cores"`  // 1
+	Speeds           []float64 `toml:"speeds"` // of the endpoints in turn; 1
+	Slots            int       `toml:"slots"`  // in work at once; as many as cores
+	QueueSize        int       `toml:"room"`   // waiting; 32
+	ColdFrom         float64   `toml:"cold_from"`
+	ColdPeriod       float64   `toml:"cold_s"`
+	PauseInterval    float64   `toml:"pause_every_s"`
+	PauseLength      float64   `toml:"pause_ms"`
+	ErrorShare       float64   `toml:"errors"`
+	OverloadAt       int       `toml:"crowd_at"`
+	OverloadSlowdown float64   `toml:"crowd_slow"`
+	RecoveryTime     float64   `toml:"rest_s"`
+	FallMultiple     float64   `toml:"fall_multiple"`
+	FallWindow       float64   `toml:"fall_s"`
+	FallSlack        bool      `toml:"fall_slack"` // a fall has the slack of the operators' term
+	DownTime         float64   `toml:"down_s"`
+	MaxConnections   int       `toml:"connections"`
+	HandshakeWork    float64   `toml:"handshake_ms"` // of work, with the first exchange on a connection
 }
 
 // Product is a kind of exchange.
 type Product struct {
-	Name     string  `toml:"name"`
-	Effect   string  `toml:"effect"` // replayable, referenced, single-use
-	Share    float64 `toml:"share"`
-	Expected float64 `toml:"expected_ms"`
-	Abandon  float64 `toml:"abandon_ms"`
-	Work     float64 `toml:"work_ms"`
-	Dist     string  `toml:"dist"` // exponential, fixed
+	Name         string  `toml:"name"`
+	Effect       string  `toml:"effect"` // replayable, referenced, single-use
+	Share        float64 `toml:"share"`
+	ExpectedTime float64 `toml:"expected_ms"`
+	AbandonTime  float64 `toml:"abandon_ms"`
+	Work         float64 `toml:"work_ms"`
+	Distribution string  `toml:"dist"` // exponential, fixed
 }
 
 // Fault is one thing that goes wrong, or is done, for a while.
 type Fault struct {
-	At    float64  `toml:"at_s"`
-	For   float64  `toml:"for_s"` // 0 for things that are done once
-	What  string   `toml:"what"`
-	Who   []string `toml:"who"`   // e3, e*, s0, s*, zone:a
-	Share float64  `toml:"share"` // of these, by the seed; 0 for all
-	To    []string `toml:"to"`    // of a link: the endpoints at its other end; of maint: the endpoint
-	Over  string   `toml:"over"`  // of a link: upstream, list, clients, consoles
-	Way   string   `toml:"way"`   // there, back; both if left out
-	Size  float64  `toml:"size"`
-	Step  float64  `toml:"step_s"` // from one of these to the next
+	At              float64  `toml:"at_s"`
+	Duration        float64  `toml:"for_s"` // 0 for things that are done once
+	Kind            string   `toml:"what"`
+	Targets         []string `toml:"who"`   // e3, e*, s0, s*, zone:a
+	Share           float64  `toml:"share"` // of these, by the seed; 0 for all
+	RemoteEndpoints []string `toml:"to"`    // of a link: the endpoints at its other end; of maint: the endpoint
+	Link            string   `toml:"over"`  // of a link: upstream, list, clients, consoles
+	Direction       string   `toml:"way"`   // there, back; both if left out
+	Size            float64  `toml:"size"`
+	Stagger         float64  `toml:"step_s"` // from one of these to the next
 }
 
 // needs of each fault: whom it is done to, whether it lasts, and what its size is.
-var faults = map[string]struct {
-	whom        byte // e, s, l(ink), d(iscovery), h(and)
-	lasts       bool
-	least, most float64 // size; 0, 0 for none
-	size        string
+var faultSpecs = map[string]struct {
+	target           byte // e, s, l(ink), d(iscovery), h(and)
+	lasts            bool
+	minSize, maxSize float64 // size; 0, 0 for none
+	sizeUnit         string
 }{
 	"slow": {'e', true, 1.01, 1000, "times slower"}, "hang": {'e', true, 0, 0, ""}, "errors": {'e', true, 0.001, 1, "share that fails"},
 	"crash": {'e', true, 0, 0, ""}, "drain": {'e', false, 0, 0, ""}, "replace": {'e', false, 0, 0, ""},
@@ -125,18 +125,20 @@
 }
 
 // Done says when a fault is over.
-func (f *Fault) Done() float64 { return f.At + f.For }
+func (f *Fault) End() float64 { return f.At + f.Duration }
 
 // OnLink tells whether it is a link's.
-func (f *Fault) OnLink() bool { return faults[f.What].whom == 'l' }
+func (f *Fault) IsLinkFault() bool { return faultSpecs[f.Kind].target == 'l' }
 
 // Wrong is a fault of the file.
-type Wrong struct {
+type FileError struct {
 	Path, Key, Text string
 	Line            int
 }
 
-func (w *Wrong) Error() string { return fmt.Sprintf("%s:%d: %s: %s", w.Path, w.Line, w.Key, w.Text) }
+func (w *FileError) Error() string {
+	return fmt.Sprintf("%s:%d: %s: %s", w.Path, w.Line, w.Key, w.Text)
+}
 
 // Read reads a file and checks all of it.
 func Read(path string) (*Scenario, error) {
@@ -152,40 +154,40 @@
 	s := &Scenario{path: path}
 	in := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
 	var strict *toml.StrictMissingError
-	var bad *toml.DecodeError
+	var decodeError *toml.DecodeError
 	switch err := in.Decode(s); {
 	case errors.As(err, &strict):
 		row, _ := strict.Errors[0].Position()
-		return nil, &Wrong{path, strings.Join(strict.Errors[0].Key(), "."), "no such key", row}
-	case errors.As(err, &bad):
-		row, _ := bad.Position()
-		return nil, &Wrong{path, strings.Join(bad.Key(), "."), strings.TrimPrefix(bad.Error(), "toml: "), row}
+		return nil, &FileError{path, strings.Join(strict.Errors[0].Key(), "."), "no such key", row}
+	case errors.As(err, &decodeError):
+		row, _ := decodeError.Position()
+		return nil, &FileError{path, strings.Join(decodeError.Key(), "."), strings.TrimPrefix(decodeError.Error(), "toml: "), row}
 	case err != nil:
-		return nil, &Wrong{path, "-", err.Error(), 1}
+		return nil, &FileError{path, "-", err.Error(), 1}
 	}
-	s.fill()
-	if key, text2 := s.check(); key != "" {
-		return nil, &Wrong{path, key, text2, lineOf(text, key)}
+	s.applyDefaults()
+	if key, message := s.validate(); key != "" {
+		return nil, &FileError{path, key, message, lineOf(text, key)}
 	}
 	return s, nil
 }
 
-func or[T comparable](v *T, other T) {
-	if *v == *new(T) {
-		*v = other
+func setDefault[T comparable](field *T, value T) {
+	if *field == *new(T) {
+		*field = value
 	}
 }
 
-func (s *Scenario) fill() {
+func (s *Scenario) applyDefaults() {
 	f := &s.Fleet
-	or(&s.Seed, 1)
-	or(&f.HeavyTimes, 1)
-	or(&f.Cores, 1)
-	or(&f.MemoryMB, 192)
-	or(&f.Sockets, 512)
-	or(&f.MaxLegs, 3)
-	or(&f.AskWithin, 4)
-	or(&f.DrainGrace, 1000)
+	setDefault(&s.Seed, 1)
+	setDefault(&f.HeavyFactor, 1)
+	setDefault(&f.Cores, 1)
+	setDefault(&f.MemoryMB, 192)
+	setDefault(&f.Sockets, 512)
+	setDefault(&f.MaxLegs, 3)
+	setDefault(&f.AskWithin, 4)
+	setDefault(&f.DrainGrace, 1000)
 	if len(s.Phases) == 0 {
 		s.Phases = []float64{0, s.Length}
 	}
@@ -194,213 +196,213 @@
 	}
 	for n := range s.Endpoints {
 		g := &s.Endpoints[n]
-		or(&g.Cores, 1)
-		or(&g.Slots, g.Cores)
-		or(&g.Room, 32)
-		or(&g.ColdFrom, 1)
-		or(&g.CrowdSlow, 2)
-		or(&g.Rest, 2)
-		or(&g.FallWithin, 2)
-		or(&g.Down, 3)
-		or(&g.Conns, 1000)
+		setDefault(&g.Cores, 1)
+		setDefault(&g.Slots, g.Cores)
+		setDefault(&g.QueueSize, 32)
+		setDefault(&g.ColdFrom, 1)
+		setDefault(&g.OverloadSlowdown, 2)
+		setDefault(&g.RecoveryTime, 2)
+		setDefault(&g.FallWindow, 2)
+		setDefault(&g.DownTime, 3)
+		setDefault(&g.MaxConnections, 1000)
 		if len(g.Speeds) == 0 {
 			g.Speeds = []float64{1}
 		}
 	}
 	for n := range s.Products {
-		or(&s.Products[n].Dist, "exponential")
-		or(&s.Products[n].Share, 1)
+		setDefault(&s.Products[n].Distribution, "exponential")
+		setDefault(&s.Products[n].Share, 1)
 	}
 }
 
 // check names the first key that can't be, and why.
-func (s *Scenario) check() (key, why string) {
-	bad := func(at, text string, args ...any) { // the first counts
+func (s *Scenario) validate() (key, why string) {
+	fail := func(at, text string, args ...any) { // the first counts
 		if key == "" {
 			key, why = at, fmt.Sprintf(text, args...)
 		}
 	}
 	within := func(at string, v, least, most float64) {
 		if !(v >= least && v <= most) {
-			bad(at, "%g is not from %g to %g", v, least, most)
+			fail(at, "%g is not from %g to %g", v, least, most)
 		}
 	}
 	within("length_s", s.Length, 0.5, 86400)
 	for n, at := range s.Phases {
 		if within("phases_s", at, 0, s.Length); len(s.Phases) < 2 || n > 0 && at <= s.Phases[n-1] {
-			bad("phases_s", "two or more rising times are needed")
+			fail("phases_s", "two or more rising times are needed")
 		}
 	}
 	f := &s.Fleet
 	within("fleet.sidecars", float64(f.Sidecars), 1, 2000)
 	within("fleet.rate", f.Rate, 0.001, 1e5)
-	within("fleet.heavy", f.Heavy, 0, 1)
-	within("fleet.heavy_times", f.HeavyTimes, 1, 1000)
+	within("fleet.heavy", f.HeavyShare, 0, 1)
+	within("fleet.heavy_times", f.HeavyFactor, 1, 1000)
 	within("fleet.cores", f.Cores, 0.1, 64)
 	within("fleet.memory_mb", float64(f.MemoryMB), 32, 1<<16)
 	within("fleet.sockets", float64(f.Sockets), 96, 1e6)
 	within("fleet.max_legs", float64(f.MaxLegs), 1, 100)
-	within("fleet.look_back_s", f.LookBack, 0, 600)
+	within("fleet.look_back_s", f.BudgetWindow, 0, 600)
 	within("fleet.ask_within_s", f.AskWithin, 0.5, 600)
 	within("fleet.drain_grace_ms", f.DrainGrace, 1, 60000)
-	within("fleet.sound_share", f.SoundShare, 0, 1)
+	within("fleet.sound_share", f.HealthyShare, 0, 1)
 	if len(s.Endpoints) == 0 {
-		bad("endpoints", "a group of endpoints is needed")
+		fail("endpoints", "a group of endpoints is needed")
 	}
 	names, total := map[string]bool{}, 0
 	for n := range s.Endpoints {
-		g, at := &s.Endpoints[n], fmt.Sprintf("endpoints[%d].", n)
+		g, prefix := &s.Endpoints[n], fmt.Sprintf("endpoints[%d].", n)
 		if g.Name == "" || strings.ContainsAny(g.Name, "*:/ ") || strings.ContainsAny(g.Name[len(g.Name)-1:], "0123456789") || g.Name == "s" || names[g.Name] {
-			bad(at+"name", "%q is empty, taken, s, or holds or ends with what a name can't", g.Name)
+			fail(prefix+"name", "%q is empty, taken, s, or holds or ends with what a name can't", g.Name)
 		}
 		names[g.Name] = true
 		total += g.Count
-		within(at+"count", float64(g.Count), 1, 10000)
-		within(at+"cores", float64(g.Cores), 1, 256)
-		within(at+"slots", float64(g.Slots), 1, 10000)
-		within(at+"room", float64(g.Room), 0, 1e6)
-		within(at+"cold_from", g.ColdFrom, 0.01, 1)
-		within(at+"cold_s", g.Cold, 0, 3600)
-		within(at+"pause_every_s", g.PauseEvery, 0, 3600)
-		within(at+"pause_ms", g.Pause, 0, 60000)
-		within(at+"errors", g.Errors, 0, 1)
-		within(at+"crowd_slow", g.CrowdSlow, 1, 1000)
-		within(at+"fall_multiple", g.FallOver, 0, 1000)
-		within(at+"fall_s", g.FallWithin, 0.01, 600)
-		within(at+"connections", float64(g.Conns), 1, 1e6)
-		within(at+"handshake_ms", g.Handshake, 0, 60000)
+		within(prefix+"count", float64(g.Count), 1, 10000)
+		within(prefix+"cores", float64(g.Cores), 1, 256)
+		within(prefix+"slots", float64(g.Slots), 1, 10000)
+		within(prefix+"room", float64(g.QueueSize), 0, 1e6)
+		within(prefix+"cold_from", g.ColdFrom, 0.01, 1)
+		within(prefix+"cold_s", g.ColdPeriod, 0, 3600)
+		within(prefix+"pause_every_s", g.PauseInterval, 0, 3600)
+		within(prefix+"pause_ms", g.PauseLength, 0, 60000)
+		within(prefix+"errors", g.ErrorShare, 0, 1)
+		within(prefix+"crowd_slow", g.OverloadSlowdown, 1, 1000)
+		within(prefix+"fall_multiple", g.FallMultiple, 0, 1000)
+		within(prefix+"fall_s", g.FallWindow, 0.01, 600)
+		within(prefix+"connections", float64(g.MaxConnections), 1, 1e6)
+		within(prefix+"handshake_ms", g.HandshakeWork, 0, 60000)
 		for _, v := range g.Speeds {
-			within(at+"speeds", v, 0.01, 100)
+			within(prefix+"speeds", v, 0.01, 100)
 		}
 	}
 	within("endpoints", float64(total), 1, 10000)
 	if len(s.Products) == 0 {
-		bad("products", "a product is needed")
+		fail("products", "a product is needed")
 	}
 	products := map[string]bool{}
 	for n := range s.Products {
-		p, at := &s.Products[n], fmt.Sprintf("products[%d].", n)
+		p, prefix := &s.Products[n], fmt.Sprintf("products[%d].", n)
 		if p.Name == "" || strings.ContainsAny(p.Name, "/ ?") || products[p.Name] {
-			bad(at+"name", "%q is empty, taken, or holds what a name can't", p.Name)
+			fail(prefix+"name", "%q is empty, taken, or holds what a name can't", p.Name)
 		}
 		products[p.Name] = true
 		if !slices.Contains([]string{"replayable", "referenced", "single-use"}, p.Effect) {
-			bad(at+"effect", "%q is none of replayable, referenced, single-use", p.Effect)
+			fail(prefix+"effect", "%q is none of replayable, referenced, single-use", p.Effect)
 		}
-		if !slices.Contains([]string{"exponential", "fixed"}, p.Dist) {
-			bad(at+"dist", "%q is neither exponential nor fixed", p.Dist)
+		if !slices.Contains([]string{"exponential", "fixed"}, p.Distribution) {
+			fail(prefix+"dist", "%q is neither exponential nor fixed", p.Distribution)
 		}
-		within(at+"share", p.Share, 0.0001, 1e6)
-		within(at+"expected_ms", p.Expected, 1, 1e6)
-		within(at+"abandon_ms", p.Abandon, p.Expected, 1e6)
-		within(at+"work_ms", p.Work, 0.001, 1e6)
+		within(prefix+"share", p.Share, 0.0001, 1e6)
+		within(prefix+"expected_ms", p.ExpectedTime, 1, 1e6)
+		within(prefix+"abandon_ms", p.AbandonTime, p.ExpectedTime, 1e6)
+		within(prefix+"work_ms", p.Work, 0.001, 1e6)
 	}
 	for n := range s.Faults {
 		if key != "" {
 			break
 		}
-		s.checkFault(&s.Faults[n], fmt.Sprintf("faults[%d].", n), bad, within)
+		s.validateFault(&s.Faults[n], fmt.Sprintf("faults[%d].", n), fail, within)
 	}
 	return key, why
 }
 
-func (s *Scenario) checkFault(f *Fault, at string, bad func(string, string, ...any), within func(string, float64, float64, float64)) {
-	kind, ok := faults[f.What]
+func (s *Scenario) validateFault(f *Fault, prefix string, fail func(string, string, ...any), within func(string, float64, float64, float64)) {
+	spec, ok := faultSpecs[f.Kind]
 	if !ok {
-		bad(at+"what", "there is no %q", f.What)
+		fail(prefix+"what", "there is no %q", f.Kind)
 		return
 	}
-	within(at+"at_s", f.At, 0, s.Length)
-	within(at+"share", f.Share, 0, 1)
-	within(at+"step_s", f.Step, 0, s.Length)
-	if f.Done() > s.Length {
-		bad(at+"for_s", "it would end at %g s, after the end at %g s", f.Done(), s.Length)
+	within(prefix+"at_s", f.At, 0, s.Length)
+	within(prefix+"share", f.Share, 0, 1)
+	within(prefix+"step_s", f.Stagger, 0, s.Length)
+	if f.End() > s.Length {
+		fail(prefix+"for_s", "it would end at %g s, after the end at %g s", f.End(), s.Length)
 	}
-	if kind.lasts && f.For <= 0 {
-		bad(at+"for_s", "%s lasts for a time", f.What)
-	} else if !kind.lasts && f.For != 0 {
-		bad(at+"for_s", "%s is done once", f.What)
+	if spec.lasts && f.Duration <= 0 {
+		fail(prefix+"for_s", "%s lasts for a time", f.Kind)
+	} else if !spec.lasts && f.Duration != 0 {
+		fail(prefix+"for_s", "%s is done once", f.Kind)
 	}
-	if kind.most > 0 && !(f.Size >= kind.least && f.Size <= kind.most) {
-		bad(at+"size", "%g is not from %g to %g (%s)", f.Size, kind.least, kind.most, kind.size)
-	} else if kind.most == 0 && f.Size != 0 {
-		bad(at+"size", "%s has no size", f.What)
+	if spec.maxSize > 0 && !(f.Size >= spec.minSize && f.Size <= spec.maxSize) {
+		fail(prefix+"size", "%g is not from %g to %g (%s)", f.Size, spec.minSize, spec.maxSize, spec.sizeUnit)
+	} else if spec.maxSize == 0 && f.Size != 0 {
+		fail(prefix+"size", "%s has no size", f.Kind)
 	}
-	if kind.whom == 'l' && !slices.Contains([]string{"upstream", "list", "clients", "consoles"}, f.Over) {
-		bad(at+"over", "%q is none of upstream, list, clients, consoles", f.Over)
+	if spec.target == 'l' && !slices.Contains([]string{"upstream", "list", "clients", "consoles"}, f.Link) {
+		fail(prefix+"over", "%q is none of upstream, list, clients, consoles", f.Link)
 	}
-	if f.Over != "" && kind.whom != 'l' {
-		bad(at+"over", "%s is no fault of a link", f.What)
+	if f.Link != "" && spec.target != 'l' {
+		fail(prefix+"over", "%s is no fault of a link", f.Kind)
 	}
-	if !slices.Contains([]string{"", "there", "back"}, f.Way) || f.Way != "" && kind.whom != 'l' {
-		bad(at+"way", "%q is neither there nor back, or %s is no fault of a link", f.Way, f.What)
+	if !slices.Contains([]string{"", "there", "back"}, f.Direction) || f.Direction != "" && spec.target != 'l' {
+		fail(prefix+"way", "%q is neither there nor back, or %s is no fault of a link", f.Direction, f.Kind)
 	}
-	if len(f.To) > 0 && f.Over != "upstream" && kind.whom != 'h' {
-		bad(at+"to", "only links upstream, and maint, have an other end to choose")
+	if len(f.RemoteEndpoints) > 0 && f.Link != "upstream" && spec.target != 'h' {
+		fail(prefix+"to", "only links upstream, and maint, have an other end to choose")
 	}
-	of := "sidecars"
-	switch kind.whom {
+	targetKind := "sidecars"
+	switch spec.target {
 	case 'e':
-		of = "endpoints"
+		targetKind = "endpoints"
 	case 'd':
-		if len(f.Who) > 0 {
-			bad(at+"who", "there is one list service")
+		if len(f.Targets) > 0 {
+			fail(prefix+"who", "there is one list service")
 		}
 		return
 	case 'l':
-		if f.What == "lose" && f.Way == "there" {
-			bad(at+"way", "answers are lost on the way back")
+		if f.Kind == "lose" && f.Direction == "there" {
+			fail(prefix+"way", "answers are lost on the way back")
 		}
 	case 'h':
-		if len(f.To) == 0 {
-			bad(at+"to", "maint needs the endpoints that are taken out")
+		if len(f.RemoteEndpoints) == 0 {
+			fail(prefix+"to", "maint needs the endpoints that are taken out")
 		}
 	}
-	for key, list := range map[string][]string{"who": f.Who, "to": f.To} {
-		for _, one := range list {
-			if from := of; len(s.match(one, from == "endpoints" || key == "to")) == 0 {
+	for key, list := range map[string][]string{"who": f.Targets, "to": f.RemoteEndpoints} {
+		for _, pattern := range list {
+			if expected := targetKind; len(s.matching(pattern, expected == "endpoints" || key == "to")) == 0 {
 				if key == "to" {
-					from = "endpoints"
+					expected = "endpoints"
 				}
-				bad(at+key, "%q names none of the %s", one, from)
+				fail(prefix+key, "%q names none of the %s", pattern, expected)
 			}
 		}
 	}
-	if len(f.Who) == 0 {
-		bad(at+"who", "nobody is named")
+	if len(f.Targets) == 0 {
+		fail(prefix+"who", "nobody is named")
 	}
 }
 
 // Place is one endpoint or sidecar of a scenario.
-type Place struct {
-	Name, Zone string
-	Number     int // among the endpoints, or the sidecars
-	Group      int // of an endpoint
-	Nth        int // in its group
+type Node struct {
+	Name, Zone   string
+	Number       int // among the endpoints, or the sidecars
+	GroupIndex   int // of an endpoint
+	IndexInGroup int // in its group
 }
 
 // Places are all endpoints, in order. Zones take turns.
-func (s *Scenario) Places() (all []Place) {
+func (s *Scenario) EndpointNodes() (all []Node) {
 	for g := range s.Endpoints {
 		for n := range s.Endpoints[g].Count {
-			all = append(all, Place{fmt.Sprint(s.Endpoints[g].Name, n), s.Fleet.Zones[len(all)%len(s.Fleet.Zones)], len(all), g, n})
+			all = append(all, Node{fmt.Sprint(s.Endpoints[g].Name, n), s.Fleet.Zones[len(all)%len(s.Fleet.Zones)], len(all), g, n})
 		}
 	}
 	return all
 }
 
 // Sidecars are all sidecars, in order.
-func (s *Scenario) Sidecars() (all []Place) {
+func (s *Scenario) SidecarNodes() (all []Node) {
 	for n := range s.Fleet.Sidecars {
-		all = append(all, Place{Name: fmt.Sprint("s", n), Zone: s.Fleet.Zones[n%len(s.Fleet.Zones)], Number: n})
+		all = append(all, Node{Name: fmt.Sprint("s", n), Zone: s.Fleet.Zones[n%len(s.Fleet.Zones)], Number: n})
 	}
 	return all
 }
 
-func (s *Scenario) match(pattern string, endpoints bool) (found []Place) {
-	all := s.Sidecars()
+func (s *Scenario) matching(pattern string, endpoints bool) (found []Node) {
+	all := s.SidecarNodes()
 	if endpoints {
-		all = s.Places()
+		all = s.EndpointNodes()
 	}
 	for _, p := range all {
 		zone, byZone := strings.CutPrefix(pattern, "zone:")
@@ -413,12 +415,12 @@
 }
 
 // Chosen are those that a fault is done to, and those at the other end, by the seed.
-func (s *Scenario) Chosen(n int) (who, to []Place) {
+func (s *Scenario) FaultTargets(n int) (targets, remote []Node) {
 	f := &s.Faults[n]
-	onEndpoints := faults[f.What].whom == 'e'
-	gather := func(list []string, endpoints bool) (all []Place) {
-		for _, one := range list {
-			for _, p := range s.match(one, endpoints) {
+	onEndpoints := faultSpecs[f.Kind].target == 'e'
+	gather := func(list []string, endpoints bool) (all []Node) {
+		for _, pattern := range list {
+			for _, p := range s.matching(pattern, endpoints) {
 				if !slices.Contains(all, p) {
 					all = append(all, p)
 				}
@@ -426,30 +428,30 @@
 		}
 		return all
 	}
-	who = gather(f.Who, onEndpoints)
+	targets = gather(f.Targets, onEndpoints)
 	if f.Share > 0 {
-		dice := rand.New(rand.NewPCG(s.Seed, uint64(n)+77))
-		dice.Shuffle(len(who), func(a, b int) { who[a], who[b] = who[b], who[a] })
-		who = who[:max(1, int(f.Share*float64(len(who))+0.5))]
-		slices.SortFunc(who, func(a, b Place) int { return a.Number - b.Number })
+		rng := rand.New(rand.NewPCG(s.Seed, uint64(n)+77))
+		rng.Shuffle(len(targets), func(a, b int) { targets[a], targets[b] = targets[b], targets[a] })
+		targets = targets[:max(1, int(f.Share*float64(len(targets))+0.5))]
+		slices.SortFunc(targets, func(a, b Node) int { return a.Number - b.Number })
 	}
-	if to = gather(f.To, true); len(to) == 0 && f.Over == "upstream" {
-		to = s.Places()
+	if remote = gather(f.RemoteEndpoints, true); len(remote) == 0 && f.Link == "upstream" {
+		remote = s.EndpointNodes()
 	}
-	return who, to
+	return targets, remote
 }
 
 // Kind is an endpoint's, in the model's terms.
-func (s *Scenario) Kind(p Place) emulator.Kind {
-	g := &s.Endpoints[p.Group]
-	k := emulator.Kind{Slots: g.Slots, Room: g.Room, ColdFrom: g.ColdFrom, ColdFor: g.Cold * 1000, PauseEvery: g.PauseEvery * 1000,
-		PauseFor: g.Pause, Errors: g.Errors, CrowdAt: g.CrowdAt, CrowdSlow: g.CrowdSlow, RestFor: g.Rest * 1000, FallOver: g.FallOver,
-		FallWithin: g.FallWithin * 1000, DownFor: g.Down * 1000}
+func (s *Scenario) EmulatorKind(p Node) emulator.Kind {
+	g := &s.Endpoints[p.GroupIndex]
+	k := emulator.Kind{Slots: g.Slots, Room: g.QueueSize, ColdFrom: g.ColdFrom, ColdFor: g.ColdPeriod * 1000, PauseEvery: g.PauseInterval * 1000,
+		PauseFor: g.PauseLength, Errors: g.ErrorShare, CrowdAt: g.OverloadAt, CrowdSlow: g.OverloadSlowdown, RestFor: g.RecoveryTime * 1000, FallOver: g.FallMultiple,
+		FallWithin: g.FallWindow * 1000, DownFor: g.DownTime * 1000}
 	if g.FallSlack {
 		k.MeanWork = s.meanWork()
 	}
 	for range g.Cores {
-		k.Cores = append(k.Cores, g.Speeds[p.Nth%len(g.Speeds)])
+		k.Cores = append(k.Cores, g.Speeds[p.IndexInGroup%len(g.Speeds)])
 	}
 	return k
 }
@@ -468,7 +470,7 @@
 }
 
 // Ask is one exchange that a client asks for.
-type Ask struct {
+type Arrival struct {
 	At      float64 // ms from the start
 	Sidecar int
 	Product int
@@ -477,34 +479,34 @@
 }
 
 // Asks are all exchanges, in order of time, drawn ahead: what becomes of one moves no other.
-func (s *Scenario) Asks() (all []Ask) {
-	heavy := int(s.Fleet.Heavy*float64(s.Fleet.Sidecars) + 0.5)
-	light := s.Fleet.Rate * float64(s.Fleet.Sidecars) / (float64(s.Fleet.Sidecars-heavy) + float64(heavy)*s.Fleet.HeavyTimes)
+func (s *Scenario) Arrivals() (all []Arrival) {
+	heavyCount := int(s.Fleet.HeavyShare*float64(s.Fleet.Sidecars) + 0.5)
+	lightRate := s.Fleet.Rate * float64(s.Fleet.Sidecars) / (float64(s.Fleet.Sidecars-heavyCount) + float64(heavyCount)*s.Fleet.HeavyFactor)
 	shares := 0.0
 	for _, p := range s.Products {
 		shares += p.Share
 	}
 	for n := range s.Fleet.Sidecars {
-		dice, rate := rand.New(rand.NewPCG(s.Seed, uint64(n)+1)), light
-		if n < heavy {
-			rate *= s.Fleet.HeavyTimes
+		rng, rate := rand.New(rand.NewPCG(s.Seed, uint64(n)+1)), lightRate
+		if n < heavyCount {
+			rate *= s.Fleet.HeavyFactor
 		}
 		for at, k := 0.0, 0; ; k++ {
-			if at += dice.ExpFloat64() / rate * 1000; at >= s.Length*1000 {
+			if at += rng.ExpFloat64() / rate * 1000; at >= s.Length*1000 {
 				break
 			}
-			product, draw := 0, dice.Float64()*shares
+			product, draw := 0, rng.Float64()*shares
 			for draw -= s.Products[product].Share; draw > 0 && product < len(s.Products)-1; draw -= s.Products[product].Share {
 				product++
 			}
 			work := s.Products[product].Work
-			if s.Products[product].Dist == "exponential" {
-				work *= dice.ExpFloat64()
+			if s.Products[product].Distribution == "exponential" {
+				work *= rng.ExpFloat64()
 			}
-			all = append(all, Ask{at, n, product, work, fmt.Sprintf("x%d-%d", n, k)})
+			all = append(all, Arrival{at, n, product, work, fmt.Sprintf("x%d-%d", n, k)})
 		}
 	}
-	slices.SortFunc(all, func(a, b Ask) int {
+	slices.SortFunc(all, func(a, b Arrival) int {
 		if a.At != b.At {
 			if a.At < b.At {
 				return -1
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `title = "t"
+const validScenario = `title = "t"
 seed = 3
 length_s = 10
 [fleet]
@@ -45,8 +45,8 @@
 share = 0.1
 `
 
-func TestStrict(t *testing.T) {
-	for _, c := range []struct{ old, new, fault string }{
+func TestWrongFilesAreRefusedWithFileLineAndKey(t *testing.T) {
+	for _, c := range []struct{ old, new, wantError string }{
 		{"seed = 3", "seeds = 3", `t.toml:2: seeds: no such key`}, {"size = 4.0", "sise = 4", "t.toml:28: faults.sise: no such key"},
 		{"size = 4.0", "size = 0.5", "t.toml:28: faults[0].size: 0.5 is not from 1.01 to 1000 (times slower)"},
 		{"size = 4.0\n", "", "t.toml:23: faults[0].size: 0 is not"}, {`"slow"`, `"slower"`, `t.toml:26: faults[0].what: there is no "slower"`},
@@ -62,27 +62,27 @@
 		{"size = 4.0", "size = 4.0\n[[faults]]\nat_s = 1\nfor_s = 2\nwhat = \"list-ends\"", "faults[1].size: 0 is not from 0.001 to 60"},
 		{"rate = 5", "rate = 5\ndrain_grace_ms = -1", "fleet.drain_grace_ms: -1 is not from 1 to 60000"},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
-		require.NotEqual(t, good, text, c.old)
+		text := strings.Replace(validScenario, c.old, c.new, 1)
+		require.NotEqual(t, validScenario, text, c.old)
 		s, err := Parse("t.toml", []byte(text))
 		assert.Nil(t, s)
-		assert.ErrorContains(t, err, c.fault)
+		assert.ErrorContains(t, err, c.wantError)
 		if err != nil {
 			assert.NotContains(t, err.Error(), "\n", "one line")
 		}
 	}
 }
 
-func TestDraws(t *testing.T) {
-	s, err := Parse("t.toml", []byte(good))
+func TestTargetsAndArrivalsFollowTheSeed(t *testing.T) {
+	s, err := Parse("t.toml", []byte(validScenario))
 	require.NoError(t, err)
-	who, _ := s.Chosen(0)
+	who, _ := s.FaultTargets(0)
 	assert.Equal(t, []string{"e1", "e3"}, []string{who[0].Name, who[1].Name}, "named twice, done once")
-	who, to := s.Chosen(1)
+	who, to := s.FaultTargets(1)
 	assert.Equal(t, []int{2, 1}, []int{len(who), len(to)})
-	assert.Equal(t, []float64{2}, s.Kind(s.Places()[1]).Cores)
-	asks := s.Asks()
-	assert.Equal(t, asks, s.Asks(), "the same seed, the same arrivals")
+	assert.Equal(t, []float64{2}, s.EmulatorKind(s.EndpointNodes()[1]).Cores)
+	asks := s.Arrivals()
+	assert.Equal(t, asks, s.Arrivals(), "the same seed, the same arrivals")
 	assert.InDelta(t, 1000, len(asks), 200)
 	count := map[int]int{}
 	for n, a := range asks {
@@ -91,5 +91,5 @@
 	}
 	assert.Greater(t, count[0]+count[1], 3*(count[2]+count[3]+count[4]+count[5])/4, "a tenth sees four times as much")
 	s.Seed = 4
-	assert.NotEqual(t, asks[0], s.Asks()[0])
+	assert.NotEqual(t, asks[0], s.Arrivals()[0])
 }
--- a/internal/sidecar/lease_calls_test.go
+++ b/internal/sidecar/lease_calls_test.go
@@ -32,7 +32,7 @@
 	t := logic.Terms{PullList: true, TakesOver: takesOver, DrainGrace: toMillis(leaseGrace), MaxListWait: toMillis(maxCallInterval), AskWithin: 1000, Fleet: 1, TimerTick: 1,
 		Products: []logic.Product{{Expected: 500, Abandon: 1000, Value: 1}},
 		Notified: logic.NotificationBounds{Reached: toMillis(notifiedAfterReached), Moved: toMillis(notifiedAfterMoved), Ended: toMillis(notifiedAfterEnded)}}
-	_, names := terms.From(nil, 1)
+	_, names := terms.Parse(nil, 1)
 	l := newLoop(ctx, t, nil, newUpstream(200, 10000, sockets, c), newDiscoveryClient("127.0.0.1:1", watchSilenceTimeout, names), hands.New("", zap.NewNop()), c, zap.NewNop())
 	s := &steppedLoop{loop: l, from: l.now}
 	list := endpointList{version: 7, full: true, servers: []listEntry{{id: "s0", addr: "127.0.0.1:2", running: true}}}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -50,12 +50,12 @@
 		s.Peers = append(s.Peers, addr)
 	}
 	fleet := settings.GetInt("fleet-size")
-	switch s.listPushed, s.streamsPerConn = terms.Pushed(settings), terms.Streams(settings); {
-	case len(peers) > 0 && !terms.Pools(settings):
+	switch s.listPushed, s.streamsPerConn = terms.ListIsPushed(settings), terms.StreamsPerConnection(settings); {
+	case len(peers) > 0 && !terms.PeersAllowed(settings):
 		return errors.New("peers: settings.allowed.peers does not allow messages")
-	case terms.Pools(settings) && len(peers) != fleet:
+	case terms.PeersAllowed(settings) && len(peers) != fleet:
 		return fmt.Errorf("peers: %d addresses, but settings.fleet-size is %d", len(peers), fleet)
-	case s.streamsPerConn > 1 && !terms.Pools(settings):
+	case s.streamsPerConn > 1 && !terms.PeersAllowed(settings):
 		return fmt.Errorf("settings.allowed.multiplex: %d exchanges on a connection are allowed in pools only", s.streamsPerConn)
 	}
 	return nil
--- a/internal/sidecar/start.go
+++ b/internal/sidecar/start.go
@@ -162,7 +162,7 @@
 	if s.idleClose <= 0 {
 		s.idleClose = 10000
 	}
-	s.terms, s.names = terms.From(settings, seed)
+	s.terms, s.names = terms.Parse(settings, seed)
 	if injectedFault == "budget" {
 		s.terms.BudgetWindow = 0
 	}
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -79,12 +79,12 @@
 	if large {
 		many = mostSidecars + d.IntN(mostSidecarsLarge-mostSidecars+1)
 	}
-	d.s.Fleet = scenario.Fleet{Sidecars: many, Rate: requestsASecond / float64(many), Heavy: 0.2, HeavyTimes: 3, Zones: []string{"a"}, MaxLegs: 2 + d.IntN(3)}
+	d.s.Fleet = scenario.Fleet{Sidecars: many, Rate: requestsASecond / float64(many), HeavyShare: 0.2, HeavyFactor: 3, Zones: []string{"a"}, MaxLegs: 2 + d.IntN(3)}
 	if d.chance(0.5) {
 		d.s.Fleet.Zones = []string{"a", "b"}
 	}
 	if d.chance(0.3) {
-		d.s.Fleet.LookBack, d.s.Fleet.ExtraFree, d.s.Fleet.ExtraRatio = 4, 4, 0.2
+		d.s.Fleet.BudgetWindow, d.s.Fleet.ExtraFree, d.s.Fleet.ExtraRatio = 4, 4, 0.2
 	}
 }
 
@@ -92,20 +92,20 @@
 	for _, effect := range []string{"replayable", "single-use", "referenced"} {
 		abandon := math.Round(d.between(300, 2500))
 		d.s.Products = append(d.s.Products, scenario.Product{Name: "to-" + effect, Effect: effect, Share: d.between(0.2, 1),
-			Expected: math.Round(abandon * d.between(0.4, 0.9)), Abandon: abandon, Work: workMs, Dist: "exponential"})
+			ExpectedTime: math.Round(abandon * d.between(0.4, 0.9)), AbandonTime: abandon, Work: workMs, Distribution: "exponential"})
 	}
 }
 
 func (d *drawing) endpoints() {
-	g := scenario.Group{Name: "e", Count: fewestEndpoints + d.IntN(mostEndpoints-fewestEndpoints+1), Cores: 2, Slots: 4, Room: 100, Conns: 2000}
+	g := scenario.Group{Name: "e", Count: fewestEndpoints + d.IntN(mostEndpoints-fewestEndpoints+1), Cores: 2, Slots: 4, QueueSize: 100, MaxConnections: 2000}
 	if d.chance(0.3) {
-		g.Errors = 0.02
+		g.ErrorShare = 0.02
 	}
 	if d.chance(0.3) {
-		g.PauseEvery, g.Pause = 3, 60
+		g.PauseInterval, g.PauseLength = 3, 60
 	}
 	if d.chance(0.5) { // one that starts can take a few requests a second only, less than its part of the load
-		g.ColdFrom, g.Cold, g.FallOver, g.FallWithin, g.Down, g.FallSlack = 0.01, 60, 2, 1, 3, true
+		g.ColdFrom, g.ColdPeriod, g.FallMultiple, g.FallWindow, g.DownTime, g.FallSlack = 0.01, 60, 2, 1, 3, true
 	}
 	d.s.Endpoints = []scenario.Group{g}
 	order := d.Perm(g.Count)
@@ -131,20 +131,20 @@
 	ends := []string{"restart", "upgrade", "kill", "restart", "upgrade"}
 	d.Shuffle(len(ends), func(a, b int) { ends[a], ends[b] = ends[b], ends[a] })
 	for n, what := range ends[:1+d.IntN(min(len(ends), len(all)-1))] {
-		f := scenario.Fault{What: what, At: d.time(lastFaultSeconds), Who: []string{fmt.Sprint("s", all[n])}}
+		f := scenario.Fault{Kind: what, At: d.time(lastFaultSeconds), Targets: []string{fmt.Sprint("s", all[n])}}
 		if what == "kill" {
-			f.For = d.between(0.3, 2)
+			f.Duration = d.between(0.3, 2)
 		}
 		d.add(f)
 	}
 	if d.chance(0.6) {
-		d.add(scenario.Fault{What: "stop", At: d.time(lastFaultSeconds), For: d.between(0.05, 0.15), Who: d.some("s", d.s.Fleet.Sidecars, 0.5), Step: 0.3})
+		d.add(scenario.Fault{Kind: "stop", At: d.time(lastFaultSeconds), Duration: d.between(0.05, 0.15), Targets: d.some("s", d.s.Fleet.Sidecars, 0.5), Stagger: 0.3})
 	}
 	if d.chance(0.4) {
-		d.add(scenario.Fault{What: "reload", At: d.time(lastFaultSeconds), Who: []string{"s*"}, Step: 0.05})
+		d.add(scenario.Fault{Kind: "reload", At: d.time(lastFaultSeconds), Targets: []string{"s*"}, Stagger: 0.05})
 	}
 	if d.chance(0.5) {
-		d.add(scenario.Fault{What: "leave", At: d.time(6), For: d.between(2, 6), Who: d.some("s", d.s.Fleet.Sidecars, 1), Size: math.Round(d.between(10, 300))})
+		d.add(scenario.Fault{Kind: "leave", At: d.time(6), Duration: d.between(2, 6), Targets: d.some("s", d.s.Fleet.Sidecars, 1), Size: math.Round(d.between(10, 300))})
 	}
 }
 
@@ -155,7 +155,7 @@
 	}
 	at, who := d.time(lastFaultSeconds-2), d.some("s", d.s.Fleet.Sidecars, 0.6)
 	for n := range 3 + d.IntN(4) {
-		d.add(scenario.Fault{What: "reload", At: hundredth(at + float64(n)*d.between(0.1, 0.3)), Who: who})
+		d.add(scenario.Fault{Kind: "reload", At: hundredth(at + float64(n)*d.between(0.1, 0.3)), Targets: who})
 	}
 }
 
@@ -165,7 +165,7 @@
 		return
 	}
 	d.s.Fleet.Sockets = crowdSockets
-	d.add(scenario.Fault{What: "crowd", At: d.time(6), For: d.between(2, 6), Who: d.some("s", min(d.s.Fleet.Sidecars, 3), 1), Size: crowdSockets * 1.2})
+	d.add(scenario.Fault{Kind: "crowd", At: d.time(6), Duration: d.between(2, 6), Targets: d.some("s", min(d.s.Fleet.Sidecars, 3), 1), Size: crowdSockets * 1.2})
 }
 
 // busyDiscovery leaves discovery little capacity to spare, for the whole rehearsal, through an outage, a restart of all or spoilt
@@ -175,23 +175,23 @@
 	switch d.IntN(3) {
 	case 0:
 		down := d.between(2, 5)
-		d.add(scenario.Fault{What: "list-off", At: at, For: down})
+		d.add(scenario.Fault{Kind: "list-off", At: at, Duration: down})
 		at = min(at+down, 8)
 	case 1:
 		round = d.between(1, 2)
-		d.add(scenario.Fault{What: "list-off", At: at, For: 0.2})
-		d.add(scenario.Fault{What: "list-spoil", At: at, Size: 1})
+		d.add(scenario.Fault{Kind: "list-off", At: at, Duration: 0.2})
+		d.add(scenario.Fault{Kind: "list-spoil", At: at, Size: 1})
 	case 2:
 		round = d.between(1, 2)
-		d.add(scenario.Fault{What: "move", At: at, Who: []string{"s*"}, Step: 0.02})
+		d.add(scenario.Fault{Kind: "move", At: at, Targets: []string{"s*"}, Stagger: 0.02})
 	}
-	d.add(scenario.Fault{What: "list-busy", At: 0, For: lengthSeconds - 0.5, Size: round})
+	d.add(scenario.Fault{Kind: "list-busy", At: 0, Duration: lengthSeconds - 0.5, Size: round})
 	for _, n := range d.drained {
 		what := "drain"
 		if d.chance(0.5) {
 			what = "replace"
 		}
-		d.add(scenario.Fault{What: what, At: hundredth(max(at+d.between(-1.5, 0.5), 0)), Who: []string{fmt.Sprint("e", n)}})
+		d.add(scenario.Fault{Kind: what, At: hundredth(max(at+d.between(-1.5, 0.5), 0)), Targets: []string{fmt.Sprint("e", n)}})
 	}
 }
 
@@ -200,36 +200,36 @@
 	at := d.time(3)
 	if d.chance(0.6) {
 		down := d.between(0.5, 5)
-		d.add(scenario.Fault{What: "list-off", At: at, For: down})
+		d.add(scenario.Fault{Kind: "list-off", At: at, Duration: down})
 		at = min(at+down+d.between(0, 0.5), 9)
 	}
 	if d.chance(0.7) {
-		d.add(scenario.Fault{What: "list-spoil", At: max(at-0.1, 0), Size: float64(1 + d.IntN(3))})
+		d.add(scenario.Fault{Kind: "list-spoil", At: max(at-0.1, 0), Size: float64(1 + d.IntN(3))})
 	}
 	if d.chance(0.6) {
 		series := 1 + d.IntN(4)
 		for n := range series {
-			d.add(scenario.Fault{What: "move", At: hundredth(at + float64(n)*d.between(0.15, 0.6)), Who: []string{"s*"}, Step: 0.05})
+			d.add(scenario.Fault{Kind: "move", At: hundredth(at + float64(n)*d.between(0.15, 0.6)), Targets: []string{"s*"}, Stagger: 0.05})
 		}
 	}
 	if d.chance(0.2) {
-		d.add(scenario.Fault{What: "list-late", At: 0.5, For: 10, Size: d.between(0.1, 1.5)})
+		d.add(scenario.Fault{Kind: "list-late", At: 0.5, Duration: 10, Size: d.between(0.1, 1.5)})
 	}
 	for _, n := range d.drained {
 		what := "drain"
 		if d.chance(0.5) {
 			what = "replace"
 		}
-		d.add(scenario.Fault{What: what, At: hundredth(min(at+d.between(-0.5, 1.5), lastFaultSeconds)), Who: []string{fmt.Sprint("e", n)}})
+		d.add(scenario.Fault{Kind: what, At: hundredth(min(at+d.between(-0.5, 1.5), lastFaultSeconds)), Targets: []string{fmt.Sprint("e", n)}})
 	}
 }
 
 func (d *drawing) endpointFaults() {
-	for _, f := range []scenario.Fault{{What: "hang"}, {What: "slow", Size: d.between(2, 8)}, {What: "errors", Size: d.between(0.1, 0.7)}, {What: "crash"}} {
+	for _, f := range []scenario.Fault{{Kind: "hang"}, {Kind: "slow", Size: d.between(2, 8)}, {Kind: "errors", Size: d.between(0.1, 0.7)}, {Kind: "crash"}} {
 		if d.chance(0.4) {
-			f.At, f.For, f.Who = d.time(8), d.between(0.5, 4), d.some("e", d.s.Endpoints[0].Count, 0.4)
-			if f.What == "crash" {
-				f.Who = []string{fmt.Sprint("e", d.staying[d.IntN(len(d.staying))])}
+			f.At, f.Duration, f.Targets = d.time(8), d.between(0.5, 4), d.some("e", d.s.Endpoints[0].Count, 0.4)
+			if f.Kind == "crash" {
+				f.Targets = []string{fmt.Sprint("e", d.staying[d.IntN(len(d.staying))])}
 			}
 			d.add(f)
 		}
@@ -237,19 +237,19 @@
 }
 
 func (d *drawing) linkFaults() {
-	for _, f := range []scenario.Fault{{What: "cut"}, {What: "silent"}, {What: "delay", Size: d.between(5, 80)}, {What: "jitter", Size: d.between(5, 50)},
-		{What: "lose", Size: d.between(0.02, 0.3), Way: "back"}, {What: "reset"}} {
+	for _, f := range []scenario.Fault{{Kind: "cut"}, {Kind: "silent"}, {Kind: "delay", Size: d.between(5, 80)}, {Kind: "jitter", Size: d.between(5, 50)},
+		{Kind: "lose", Size: d.between(0.02, 0.3), Direction: "back"}, {Kind: "reset"}} {
 		if !d.chance(0.25) {
 			continue
 		}
-		f.At, f.Over = d.time(8), "upstream"
-		f.Who, f.To = d.some("s", d.s.Fleet.Sidecars, 0.6), d.some("e", d.s.Endpoints[0].Count, 0.5)
-		if f.What != "reset" {
-			f.For = d.between(0.3, 3)
+		f.At, f.Link = d.time(8), "upstream"
+		f.Targets, f.RemoteEndpoints = d.some("s", d.s.Fleet.Sidecars, 0.6), d.some("e", d.s.Endpoints[0].Count, 0.5)
+		if f.Kind != "reset" {
+			f.Duration = d.between(0.3, 3)
 		}
 		d.add(f)
 	}
 	if d.chance(0.3) {
-		d.add(scenario.Fault{What: []string{"cut", "silent"}[d.IntN(2)], Over: "list", At: d.time(6), For: d.between(0.5, 3), Who: d.some("s", d.s.Fleet.Sidecars, 0.5)})
+		d.add(scenario.Fault{Kind: []string{"cut", "silent"}[d.IntN(2)], Link: "list", At: d.time(6), Duration: d.between(0.5, 3), Targets: d.some("s", d.s.Fleet.Sidecars, 0.5)})
 	}
 }
--- a/internal/soak/profiles.go
+++ b/internal/soak/profiles.go
@@ -39,11 +39,11 @@
 	d.fleet(large)
 	d.products()
 	count := fewestEndpoints + d.IntN(mostEndpoints-fewestEndpoints+1)
-	d.s.Endpoints = []scenario.Group{{Name: "e", Count: count, Cores: 2, Slots: 4, Room: 100, Conns: 2000}}
+	d.s.Endpoints = []scenario.Group{{Name: "e", Count: count, Cores: 2, Slots: 4, QueueSize: 100, MaxConnections: 2000}}
 	order := d.Perm(count)
 	drains := 1 + d.IntN(3)
 	d.drained, d.staying = order[:drains], order[drains:]
-	d.s.Fleet.SoundShare = soundShare
+	d.s.Fleet.HealthyShare = soundShare
 	trouble(d)
 	text, err := Text(&d.s)
 	if err != nil {
@@ -65,14 +65,14 @@
 	who := d.some("s", min(d.s.Fleet.Sidecars, 3), 1)
 	who = who[:min(len(who), 2)]
 	for range 1 + d.IntN(2) {
-		d.add(scenario.Fault{What: []string{"crowd", "crowd-heads", "crowd-drip"}[d.IntN(3)], At: d.time(6), For: d.between(2, 6), Who: who,
+		d.add(scenario.Fault{Kind: []string{"crowd", "crowd-heads", "crowd-drip"}[d.IntN(3)], At: d.time(6), Duration: d.between(2, 6), Targets: who,
 			Size: float64(int(float64(d.s.Fleet.Sockets) * d.between(leastCrowd, mostCrowd)))})
 	}
 	if d.chance(0.4) {
-		d.add(scenario.Fault{What: "upgrade", At: d.time(6), Who: who[:1]})
+		d.add(scenario.Fault{Kind: "upgrade", At: d.time(6), Targets: who[:1]})
 	}
 	if d.chance(0.3) {
-		d.add(scenario.Fault{What: "reload", At: d.time(lastFaultSeconds), Who: []string{"s*"}, Step: 0.05})
+		d.add(scenario.Fault{Kind: "reload", At: d.time(lastFaultSeconds), Targets: []string{"s*"}, Stagger: 0.05})
 	}
 	if d.chance(0.5) {
 		d.discoveryFaults()
@@ -89,12 +89,12 @@
 	const again = 6.5 // seconds to a second hand-over: the first has its yes by then
 	many := 1 + d.IntN(min(3, d.s.Fleet.Sidecars))
 	for _, n := range d.Perm(d.s.Fleet.Sidecars)[:many] {
-		f := scenario.Fault{What: "upgrade", At: d.between(0.5, 4), Who: []string{fmt.Sprint("s", n)}}
+		f := scenario.Fault{Kind: "upgrade", At: d.between(0.5, 4), Targets: []string{fmt.Sprint("s", n)}}
 		switch d.IntN(3) {
 		case 0:
-			f.What, f.For = "upgrade-fails", d.between(0.2, 6)
+			f.Kind, f.Duration = "upgrade-fails", d.between(0.2, 6)
 		case 1:
-			d.add(scenario.Fault{What: "upgrade", At: hundredth(f.At + again + d.between(0, 1.5)), Who: f.Who})
+			d.add(scenario.Fault{Kind: "upgrade", At: hundredth(f.At + again + d.between(0, 1.5)), Targets: f.Targets})
 		}
 		d.add(f)
 	}
@@ -108,7 +108,7 @@
 		d.signalSeries()
 	}
 	if d.chance(0.3) {
-		d.add(scenario.Fault{What: "list-late", At: 0.5, For: 12, Size: d.between(0.1, 1.5)})
+		d.add(scenario.Fault{Kind: "list-late", At: 0.5, Duration: 12, Size: d.between(0.1, 1.5)})
 	}
 }
 
@@ -118,12 +118,12 @@
 	sidecars := float64(d.s.Fleet.Sidecars)
 	calls := sidecars
 	for _, f := range d.s.Faults {
-		if f.What == "upgrade" || f.What == "upgrade-fails" {
+		if f.Kind == "upgrade" || f.Kind == "upgrade-fails" {
 			calls++
 		}
 	}
 	for n := range d.s.Faults {
-		if f := &d.s.Faults[n]; f.What == "list-busy" {
+		if f := &d.s.Faults[n]; f.Kind == "list-busy" {
 			f.Size = hundredth(f.Size * sidecars / calls)
 		}
 	}
@@ -137,12 +137,12 @@
 		lastDrain = 5.5
 	)
 	answer := d.between(3, 4)
-	d.add(scenario.Fault{What: "list-busy", At: watched, For: lengthSeconds - watched - 0.5, Size: hundredth(answer * float64(d.s.Fleet.Sidecars))})
+	d.add(scenario.Fault{Kind: "list-busy", At: watched, Duration: lengthSeconds - watched - 0.5, Size: hundredth(answer * float64(d.s.Fleet.Sidecars))})
 	for _, n := range d.Perm(d.s.Fleet.Sidecars)[:2] {
-		d.add(scenario.Fault{What: "upgrade", At: hundredth(watched + d.between(0.2, 0.9)), Who: []string{fmt.Sprint("s", n)}})
+		d.add(scenario.Fault{Kind: "upgrade", At: hundredth(watched + d.between(0.2, 0.9)), Targets: []string{fmt.Sprint("s", n)}})
 	}
 	for _, n := range d.drained {
-		d.add(scenario.Fault{What: "drain", At: hundredth(watched + d.between(1.3, lastDrain-0.5)), Who: []string{fmt.Sprint("e", n)}})
+		d.add(scenario.Fault{Kind: "drain", At: hundredth(watched + d.between(1.3, lastDrain-0.5)), Targets: []string{fmt.Sprint("e", n)}})
 	}
 }
 
@@ -169,23 +169,23 @@
 	}
 	g := &d.s.Endpoints[0]
 	g.Count = mostEndpoints
-	d.add(scenario.Fault{What: "list-busy", For: lengthSeconds - 0.5, Size: d.between(1.5, 3)})
-	d.add(scenario.Fault{What: "list-ends", For: lengthSeconds - 0.5, Size: d.between(0.1, 2.5)})
+	d.add(scenario.Fault{Kind: "list-busy", Duration: lengthSeconds - 0.5, Size: d.between(1.5, 3)})
+	d.add(scenario.Fault{Kind: "list-ends", Duration: lengthSeconds - 0.5, Size: d.between(0.1, 2.5)})
 	d.drainsInTurn(g.Count)
 	if spoilt := d.IntN(mostSpoilt + 1); spoilt > 0 {
-		d.add(scenario.Fault{What: "list-spoil", At: d.time(8), Size: float64(spoilt)})
+		d.add(scenario.Fault{Kind: "list-spoil", At: d.time(8), Size: float64(spoilt)})
 	}
 	if d.chance(0.4) {
-		d.add(scenario.Fault{What: "list-off", At: d.time(6), For: d.between(0.2, 4)})
+		d.add(scenario.Fault{Kind: "list-off", At: d.time(6), Duration: d.between(0.2, 4)})
 	}
 	if d.chance(0.4) {
 		at, who := d.time(8), d.some("s", f.Sidecars, 1)
 		for n := range 1 + d.IntN(3) {
-			d.add(scenario.Fault{What: "move", At: hundredth(at + float64(n)*d.between(0.3, 1.5)), Who: who, Step: 0.02})
+			d.add(scenario.Fault{Kind: "move", At: hundredth(at + float64(n)*d.between(0.3, 1.5)), Targets: who, Stagger: 0.02})
 		}
 	}
 	if d.chance(0.4) {
-		d.add(scenario.Fault{What: "upgrade", At: d.time(6), Who: d.some("s", 3, 1), Step: 0.1})
+		d.add(scenario.Fault{Kind: "upgrade", At: d.time(6), Targets: d.some("s", 3, 1), Stagger: 0.1})
 	}
 }
 
@@ -196,7 +196,7 @@
 		if at > lastFaultSeconds {
 			return
 		}
-		d.add(scenario.Fault{What: []string{"drain", "replace"}[d.IntN(2)], At: at, Who: []string{fmt.Sprint("e", n)}})
+		d.add(scenario.Fault{Kind: []string{"drain", "replace"}[d.IntN(2)], At: at, Targets: []string{fmt.Sprint("e", n)}})
 		at = hundredth(at + d.between(0.25, 2))
 	}
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -92,7 +92,7 @@
 		if next.Err == nil && slices.Contains(next.Rules(), rule) {
 			best.Close()
 			best = next
-			p.say(fmt.Sprintf("seed %d breaks %q without %s too", v.Seed, rule, v.Scenario.Faults[n].What))
+			p.say(fmt.Sprintf("seed %d breaks %q without %s too", v.Seed, rule, v.Scenario.Faults[n].Kind))
 		} else {
 			next.Close()
 		}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -128,11 +128,11 @@
 			require.NoError(t, err)
 			assert.Equal(t, s, again)
 			for _, f := range s.Faults {
-				if profile == "crowds" && strings.HasPrefix(f.What, "crowd") {
+				if profile == "crowds" && strings.HasPrefix(f.Kind, "crowd") {
 					least, most = min(least, f.Size/float64(s.Fleet.Sockets)), max(most, f.Size/float64(s.Fleet.Sockets))
 				}
 			}
-			assert.Equal(t, profile != General, s.Fleet.SoundShare > 0)
+			assert.Equal(t, profile != General, s.Fleet.HealthyShare > 0)
 		}
 	}
 	assert.Less(t, least, 0.6)
@@ -151,7 +151,7 @@
 		assert.Equal(t, 500.0, s.Fleet.DrainGrace)
 		seen := map[string]bool{}
 		for _, f := range s.Faults {
-			switch seen[f.What] = true; f.What {
+			switch seen[f.Kind] = true; f.Kind {
 			case "list-busy":
 				assert.True(t, f.Size >= 1.5 && f.Size <= 3, f.Size)
 			case "list-spoil":
--- a/internal/terms/check.go
+++ b/internal/terms/check.go
@@ -8,9 +8,9 @@
 )
 
 // limits of the settings' figures, by key; what is absent keeps its default.
-var limits = []struct {
-	path        []string
-	least, most float64
+var numberLimits = []struct {
+	path            []string
+	lowest, highest float64
 }{
 	{[]string{"fleet-size"}, 0, 1e6}, {[]string{"me"}, 0, 1e6}, {[]string{"tick"}, 0, 1e4},
 	{[]string{"overage-value"}, 0, 1}, {[]string{"prices", "cross-zone"}, 0, 1e3},
@@ -25,45 +25,45 @@
 }
 
 // perProduct and perTenant are the limits of each entry's figures.
-var perProduct = map[string]float64{
+var productMaxima = map[string]float64{
 	"expected-time": math.MaxUint32, "abandon-time": math.MaxUint32, "key-ttl": math.MaxUint32, "value": math.MaxUint32,
 	"overdue-value": 1,
 }
 
-var perTenant = map[string]float64{"portion": 1}
+var tenantMaxima = map[string]float64{"portion": 1}
 
 // words that a setting may have; absent is the first, which is the shape of old.
-var words = map[string][]string{"registry-mode": {"on_request", "pushed"}, "value-by": {"request", "work"}}
+var allowedWords = map[string][]string{"registry-mode": {"on_request", "pushed"}, "value-by": {"request", "work"}}
 
 // Check finds what no deployment can mean, and names the key. The simulator's settings are not checked: they are its own.
 func Check(settings *fastjson.Value) error {
-	for _, l := range limits {
-		if err := figure("settings", settings.Get(l.path...), l.least, l.most, l.path...); err != nil {
+	for _, l := range numberLimits {
+		if err := checkNumber("settings", settings.Get(l.path...), l.lowest, l.highest, l.path...); err != nil {
 			return err
 		}
 	}
-	for key, most := range perProduct {
+	for key, most := range productMaxima {
 		for n, p := range settings.GetArray("products") {
-			if err := figure(fmt.Sprintf("settings.products[%d]", n), p.Get(key), 0, most, key); err != nil {
+			if err := checkNumber(fmt.Sprintf("settings.products[%d]", n), p.Get(key), 0, most, key); err != nil {
 				return err
 			}
 		}
 	}
 	for n, p := range settings.GetArray("products") {
 		for _, key := range []string{"runs-in", "allowed-on"} {
-			if err := names(fmt.Sprintf("settings.products[%d].%s", n, key), p.Get(key)); err != nil {
+			if err := checkNames(fmt.Sprintf("settings.products[%d].%s", n, key), p.Get(key)); err != nil {
 				return err
 			}
 		}
 	}
-	for key, most := range perTenant {
+	for key, most := range tenantMaxima {
 		for n, t := range settings.GetArray("tenants") {
-			if err := figure(fmt.Sprintf("settings.tenants[%d]", n), t.Get(key), 0, most, key); err != nil {
+			if err := checkNumber(fmt.Sprintf("settings.tenants[%d]", n), t.Get(key), 0, most, key); err != nil {
 				return err
 			}
 		}
 	}
-	for key, known := range words {
+	for key, known := range allowedWords {
 		if v := settings.Get(key); v != nil && v.Type() != fastjson.TypeNull {
 			if word := string(v.GetStringBytes()); word != known[0] && word != known[1] {
 				return fmt.Errorf("settings.%s: %s is neither %s nor %s", key, v, known[0], known[1])
@@ -71,7 +71,7 @@
 		}
 	}
 	fleet, me := settings.GetInt("fleet-size"), settings.GetInt("me")
-	if Pools(settings) && fleet < 2 {
+	if PeersAllowed(settings) && fleet < 2 {
 		return fmt.Errorf("settings.fleet-size: %d, but settings.allowed.peers makes a pool", fleet)
 	}
 	if fleet > 0 && me >= fleet {
@@ -81,42 +81,44 @@
 }
 
 // names refuses what is no list of names. One that no endpoint has yet is legal: nothing is sent until one has.
-func names(at string, v *fastjson.Value) error {
+func checkNames(location string, v *fastjson.Value) error {
 	if v == nil || v.Type() == fastjson.TypeNull {
 		return nil
 	}
 	if v.Type() != fastjson.TypeArray || len(v.GetArray()) == 0 {
-		return fmt.Errorf("%s: %s is no list of names", at, v)
+		return fmt.Errorf("%s: %s is no list of names", location, v)
 	}
 	for n, e := range v.GetArray() {
 		if e.Type() != fastjson.TypeString || len(e.GetStringBytes()) == 0 {
-			return fmt.Errorf("%s[%d]: %s is no name", at, n, e)
+			return fmt.Errorf("%s[%d]: %s is no name", location, n, e)
 		}
 	}
 	return nil
 }
 
-func figure(at string, v *fastjson.Value, least, most float64, path ...string) error {
+func checkNumber(location string, v *fastjson.Value, lowest, highest float64, path ...string) error {
 	if v == nil || v.Type() == fastjson.TypeNull {
 		return nil
 	}
 	for _, key := range path {
-		at += "." + key
+		location += "." + key
 	}
-	f, err := v.Float64()
-	if err != nil || math.IsNaN(f) || f < least || f > most {
-		return fmt.Errorf("%s: %s is no number from %g to %g", at, v, least, most)
+	number, err := v.Float64()
+	if err != nil || math.IsNaN(number) || number < lowest || number > highest {
+		return fmt.Errorf("%s: %s is no number from %g to %g", location, v, lowest, highest)
 	}
 	return nil
 }
 
 // Pools tells whether the sidecars may write to one another.
-func Pools(settings *fastjson.Value) bool { return settings.GetBool("allowed", "peers") }
+func PeersAllowed(settings *fastjson.Value) bool { return settings.GetBool("allowed", "peers") }
 
 // Pushed tells whether the list comes unasked.
-func Pushed(settings *fastjson.Value) bool {
+func ListIsPushed(settings *fastjson.Value) bool {
 	return string(settings.GetStringBytes("registry-mode")) == "pushed"
 }
 
 // Streams is how many exchanges a connection carries at once.
-func Streams(settings *fastjson.Value) int { return max(settings.GetInt("allowed", "multiplex"), 1) }
+func StreamsPerConnection(settings *fastjson.Value) int {
+	return max(settings.GetInt("allowed", "multiplex"), 1)
+}
--- a/internal/terms/check_test.go
+++ b/internal/terms/check_test.go
@@ -11,7 +11,7 @@
 
 // A figure that no deployment can have was taken as it stood: a negative time or a share over 1 bent every decision.
 func TestCheckNamesTheKey(t *testing.T) {
-	for _, c := range []struct{ text, fault string }{
+	for _, c := range []struct{ text, wantKey string }{
 		{`{}`, ""},
 		{`{"fleet-size":3,"me":2,"allowed":{"peers":true,"multiplex":100},"registry-mode":"pushed","value-by":"work"}`, ""},
 		{`{"fleet-size":null,"registry-mode":null,"prices":{"cross-zone":0.03}}`, ""},
@@ -48,31 +48,31 @@
 		if !assert.NoError(t, err, c.text) {
 			continue
 		}
-		if err = Check(v); c.fault == "" {
+		if err = Check(v); c.wantKey == "" {
 			assert.NoError(t, err, c.text)
 		} else {
-			assert.ErrorContains(t, err, c.fault+":", c.text)
+			assert.ErrorContains(t, err, c.wantKey+":", c.text)
 		}
 	}
 }
 
 // What a deployment of old does not say must leave it as it was.
-func TestDefaultsAreTheShapeOfOld(t *testing.T) {
+func TestDefaultsOfAbsentSettings(t *testing.T) {
 	v := fastjson.MustParse(`{"products":[{"name":"a"}]}`)
-	got, _ := From(v, 1)
+	got, _ := Parse(v, 1)
 	assert.True(t, got.PullList)
 	assert.False(t, got.Peers || got.ByWork)
 	assert.Negative(t, got.SidecarNumber, "not told")
-	assert.False(t, Pools(v) || Pushed(v))
-	assert.Equal(t, 1, Streams(v))
-	got, _ = From(fastjson.MustParse(`{"me":4,"fleet-size":9,"registry-mode":"pushed","value-by":"work","allowed":{"peers":true}}`), 1)
+	assert.False(t, PeersAllowed(v) || ListIsPushed(v))
+	assert.Equal(t, 1, StreamsPerConnection(v))
+	got, _ = Parse(fastjson.MustParse(`{"me":4,"fleet-size":9,"registry-mode":"pushed","value-by":"work","allowed":{"peers":true}}`), 1)
 	assert.Equal(t, logic.PeerID(4), got.SidecarNumber)
 	assert.True(t, got.Peers && got.ByWork && !got.PullList)
 }
 
 // What the further deployments state must reach the module, and what a report lacks must not count as an idle endpoint.
-func TestSettingsOfTheFurtherDeployments(t *testing.T) {
-	got, _ := From(fastjson.MustParse(`{"allowed":{"answer-buffers":5,"probes":true,"idle-close":15000},"domain":{"warm-keys":true},
+func TestOptionalSettingsReachTheTerms(t *testing.T) {
+	got, _ := Parse(fastjson.MustParse(`{"allowed":{"answer-buffers":5,"probes":true,"idle-close":15000},"domain":{"warm-keys":true},
 		"guarantees":{"extra-free":3,"extra-ratio":0.1,"look-back":5000,"budget-error":820,"ready-margin":90},
 		"prices":{"probe":0.002},"report":{"how":"piggyback","columns":["active","cpu"]}}`), 1)
 	assert.Equal(t, []any{5, true, logic.Millis(15000), true, 3.0, 0.1, logic.Millis(5000), logic.Millis(820), logic.Millis(90), 0.002, true},
@@ -80,14 +80,14 @@
 			got.ProbePrice, got.ReportsLoad})
 	assert.Equal(t, logic.Load{Held: 7, Waiting: -1, Busy: 0.5}, Load(fastjson.MustParse(`{"active":7,"cpu":0.5,"waiting":null}`)))
 	assert.Equal(t, logic.Load{Held: -1, Waiting: -1, Busy: -1}, Load(nil))
-	assert.False(t, Reports(fastjson.MustParse(`{"report":{"how":"silent","columns":["active"]}}`)))
+	assert.False(t, ProbesReportLoad(fastjson.MustParse(`{"report":{"how":"silent","columns":["active"]}}`)))
 	assert.Zero(t, Key(nil))
 	assert.NotEqual(t, Key([]byte("a")), Key([]byte("b")))
 }
 
 // Where a product may go reaches the module by the ids that lists are told with; absent is anywhere, and no list of none.
-func TestPlacement(t *testing.T) {
-	got, names := From(fastjson.MustParse(`{"locality":"home","products":[{"runs-in":["b","home"]},{"allowed-on":["k","l"]},{},{"runs-in":[]}]}`), 1)
+func TestPlacementListsAreParsedToIDs(t *testing.T) {
+	got, names := Parse(fastjson.MustParse(`{"locality":"home","products":[{"runs-in":["b","home"]},{"allowed-on":["k","l"]},{},{"runs-in":[]}]}`), 1)
 	assert.Equal(t, []logic.ZoneID{names.Zone([]byte("b")), names.Zone([]byte("home"))}, got.Products[0].RunsIn)
 	assert.Equal(t, got.Zone, got.Products[0].RunsIn[1])
 	assert.Equal(t, []logic.KindID{names.Kind([]byte("k")), names.Kind([]byte("l"))}, got.Products[1].AllowedOn)
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -18,31 +18,31 @@
 	kinds    map[string]logic.KindID
 }
 
-var effects = map[string]logic.Effect{"retryable": logic.Retryable, "dedup": logic.Deduplicated}
+var effectByName = map[string]logic.Effect{"retryable": logic.Retryable, "dedup": logic.Deduplicated}
 
-var groups = map[string]logic.Group{"all": logic.AllEndpoints, "zone": logic.OneZone}
+var groupByName = map[string]logic.Group{"all": logic.AllEndpoints, "zone": logic.OneZone}
 
 // From reads the settings object.
-func From(settings *fastjson.Value, seed uint64) (logic.Terms, *Names) {
+func Parse(settings *fastjson.Value, seed uint64) (logic.Terms, *Names) {
 	names := &Names{
 		products: map[string]logic.ProductID{}, tenants: map[string]logic.TenantID{}, zones: map[string]logic.ZoneID{}, kinds: map[string]logic.KindID{},
 	}
-	allowed, rules := settings.Get("allowed"), settings.Get("guarantees")
+	allowed, guarantees := settings.Get("allowed"), settings.Get("guarantees")
 	t := logic.Terms{
-		Seed: seed, Fleet: settings.GetInt("fleet-size"), SidecarNumber: me(settings),
+		Seed: seed, Fleet: settings.GetInt("fleet-size"), SidecarNumber: sidecarNumber(settings),
 		Peers: allowed.GetBool("peers"),
 		Zone:  names.Zone(settings.GetStringBytes("locality")), OverShareValue: settings.GetFloat64("overage-value"),
 		MaxLegs: allowed.GetInt("max-legs"), MayHedge: allowed.GetBool("second-copies"),
 		MayCancel: allowed.GetBool("may-cancel"), ByWork: string(settings.GetStringBytes("value-by")) == "work",
 		PullList:  string(settings.GetStringBytes("registry-mode")) != "pushed",
-		AskWithin: Millis(rules, "ask-within"), ColdPeriod: Millis(rules, "cold"), FallWindow: Millis(rules, "fall"),
-		ColdFrom: rules.GetFloat64("cold-from"), FallMultiple: rules.GetFloat64("fall-multiple"),
+		AskWithin: Millis(guarantees, "ask-within"), ColdPeriod: Millis(guarantees, "cold"), FallWindow: Millis(guarantees, "fall"),
+		ColdFrom: guarantees.GetFloat64("cold-from"), FallMultiple: guarantees.GetFloat64("fall-multiple"),
 		CrossZonePrice: settings.GetFloat64("prices", "cross-zone"), TimerTick: Millis(settings, "tick"),
-		ExtraFree: rules.GetFloat64("extra-free"), ExtraRatio: rules.GetFloat64("extra-ratio"),
-		DrainGrace:   Millis(rules, "drain-grace"),
-		BudgetWindow: Millis(rules, "look-back"), DeadlineSkew: Millis(rules, "budget-error"), ReadySkew: Millis(rules, "ready-margin"),
+		ExtraFree: guarantees.GetFloat64("extra-free"), ExtraRatio: guarantees.GetFloat64("extra-ratio"),
+		DrainGrace:   Millis(guarantees, "drain-grace"),
+		BudgetWindow: Millis(guarantees, "look-back"), DeadlineSkew: Millis(guarantees, "budget-error"), ReadySkew: Millis(guarantees, "ready-margin"),
 		AnswerBuffers: allowed.GetInt("answer-buffers"), WarmKeys: settings.GetBool("domain", "warm-keys"),
-		MayProbe: allowed.GetBool("probes"), ReportsLoad: Reports(settings), ProbePrice: settings.GetFloat64("prices", "probe"),
+		MayProbe: allowed.GetBool("probes"), ReportsLoad: ProbesReportLoad(settings), ProbePrice: settings.GetFloat64("prices", "probe"),
 		IdleTimeout: Millis(allowed, "idle-close"),
 	}
 	if allowed.GetBool("retry-after") {
@@ -51,12 +51,12 @@
 	for n, p := range settings.GetArray("products") {
 		names.products[string(p.GetStringBytes("name"))] = logic.ProductID(n)
 		product := logic.Product{
-			Effect: effects[string(p.GetStringBytes("effect"))], Group: groups[string(p.GetStringBytes("dedup-scope"))],
+			Effect: effectByName[string(p.GetStringBytes("effect"))], Group: groupByName[string(p.GetStringBytes("dedup-scope"))],
 			DedupMemory: Millis(p, "key-ttl"), Expected: Millis(p, "expected-time"), Abandon: Millis(p, "abandon-time"),
 			Value: p.GetFloat64("value"), OverdueShare: p.GetFloat64("overdue-value"),
 		}
-		product.RunsIn = named(p.Get("runs-in"), names.Zone)
-		product.AllowedOn = named(p.Get("allowed-on"), names.Kind)
+		product.RunsIn = parseIDs(p.Get("runs-in"), names.Zone)
+		product.AllowedOn = parseIDs(p.Get("allowed-on"), names.Kind)
 		t.Products = append(t.Products, product)
 	}
 	for n, p := range settings.GetArray("tenants") {
@@ -70,7 +70,7 @@
 func Millis(v *fastjson.Value, key string) logic.Millis { return logic.Millis(v.GetFloat64(key)) }
 
 // Reports tells whether an endpoint that is probed says how many exchanges it holds.
-func Reports(settings *fastjson.Value) bool {
+func ProbesReportLoad(settings *fastjson.Value) bool {
 	return string(settings.GetStringBytes("report", "how")) != "silent" && slices.ContainsFunc(settings.GetArray("report", "columns"),
 		func(c *fastjson.Value) bool { return string(c.GetStringBytes()) == "active" })
 }
@@ -115,37 +115,37 @@
 
 // Zone numbers zones as they are first named.
 func (n *Names) Zone(name []byte) logic.ZoneID {
-	return numbered(n.zones, name)
+	return idFor(n.zones, name)
 }
 
 // Kind numbers kinds of machine as they are first named.
 func (n *Names) Kind(name []byte) logic.KindID {
-	return numbered(n.kinds, name)
+	return idFor(n.kinds, name)
 }
 
-func numbered[ID ~int](of map[string]ID, name []byte) ID {
-	id, known := of[string(name)]
+func idFor[ID ~int](ids map[string]ID, name []byte) ID {
+	id, known := ids[string(name)]
 	if !known {
-		id = ID(len(of))
-		of[string(name)] = id
+		id = ID(len(ids))
+		ids[string(name)] = id
 	}
 	return id
 }
 
 // named are the ids of a list of names; nil where there is no list, which is not the same as one that names nothing.
-func named[ID any](list *fastjson.Value, id func([]byte) ID) []ID {
+func parseIDs[ID any](list *fastjson.Value, idOf func([]byte) ID) []ID {
 	if list == nil || list.Type() == fastjson.TypeNull {
 		return nil
 	}
 	ids := []ID{}
 	for _, v := range list.GetArray() {
-		ids = append(ids, id(v.GetStringBytes()))
+		ids = append(ids, idOf(v.GetStringBytes()))
 	}
 	return ids
 }
 
 // me is the sidecar's number in its fleet; below 0 where it is not told.
-func me(settings *fastjson.Value) logic.PeerID {
+func sidecarNumber(settings *fastjson.Value) logic.PeerID {
 	if !settings.Exists("me") {
 		return -1
 	}
--- a/internal/virtual/baselines.go
+++ b/internal/virtual/baselines.go
@@ -7,57 +7,57 @@
 )
 
 // Baselines choose an endpoint and nothing else: one leg, no copy, no retry, no dismissal. They are here to be compared with.
-var Baselines = map[string]Maker{
-	"random":        plain(func(b *baseline) int { return b.draw(len(b.up)) }),
-	"round robin":   plain(func(b *baseline) int { b.turn++; return b.turn % len(b.up) }),
-	"least in hand": plain(func(b *baseline) int { return b.least(len(b.up)) }),
-	"two choices":   plain(func(b *baseline) int { return b.least(2) }),
-	"lynxjunction":  Module,
+var Baselines = map[string]DeciderFactory{
+	"random":        singleLeg(func(b *baseline) int { return b.randomInt(len(b.endpoints)) }),
+	"round robin":   singleLeg(func(b *baseline) int { b.next++; return b.next % len(b.endpoints) }),
+	"least in hand": singleLeg(func(b *baseline) int { return b.leastLoaded(len(b.endpoints)) }),
+	"two choices":   singleLeg(func(b *baseline) int { return b.leastLoaded(2) }),
+	"lynxjunction":  NewModule,
 	"without copies": func(t logic.Terms, out logic.Outgoing, now logic.Millis) Decider {
 		t.MayHedge = false
-		return Module(t, out, now)
+		return NewModule(t, out, now)
 	},
 }
 
 type baseline struct {
 	logic.Outgoing
-	pick func(*baseline) int
-	up   []logic.EndpointID
-	held map[logic.EndpointID]int
-	to   map[logic.ExchangeID]logic.EndpointID
-	dice uint64
-	turn int
+	pick               func(*baseline) int
+	endpoints          []logic.EndpointID
+	legsInFlight       map[logic.EndpointID]int
+	endpointByExchange map[logic.ExchangeID]logic.EndpointID
+	rngState           uint64
+	next               int
 }
 
-func plain(pick func(*baseline) int) Maker {
+func singleLeg(pick func(*baseline) int) DeciderFactory {
 	return func(t logic.Terms, out logic.Outgoing, _ logic.Millis) Decider {
-		b := &baseline{Outgoing: out, pick: pick, held: map[logic.EndpointID]int{}, to: map[logic.ExchangeID]logic.EndpointID{}, dice: t.Seed | 1}
-		b.turn = b.draw(1 << 20)
+		b := &baseline{Outgoing: out, pick: pick, legsInFlight: map[logic.EndpointID]int{}, endpointByExchange: map[logic.ExchangeID]logic.EndpointID{}, rngState: t.Seed | 1}
+		b.next = b.randomInt(1 << 20)
 		out.Watch()
 		return b
 	}
 }
 
-func (b *baseline) draw(n int) int {
-	b.dice ^= b.dice << 13
-	b.dice ^= b.dice >> 7
-	b.dice ^= b.dice << 17
-	return int(b.dice % uint64(n))
+func (b *baseline) randomInt(n int) int {
+	b.rngState ^= b.rngState << 13
+	b.rngState ^= b.rngState >> 7
+	b.rngState ^= b.rngState << 17
+	return int(b.rngState % uint64(n))
 }
 
 // least draws so many and takes the one with the fewest of our legs; where it draws all, ties fall by chance.
-func (b *baseline) least(of int) int {
+func (b *baseline) leastLoaded(sampleSize int) int {
 	best, fewest, ties := 0, math.MaxInt, 0
-	for k := range of {
+	for k := range sampleSize {
 		n := k
-		if of < len(b.up) {
-			n = b.draw(len(b.up))
+		if sampleSize < len(b.endpoints) {
+			n = b.randomInt(len(b.endpoints))
 		}
-		switch h := b.held[b.up[n]]; {
-		case h < fewest:
-			best, fewest, ties = n, h, 1
-		case h == fewest:
-			if ties++; b.draw(ties) == 0 {
+		switch held := b.legsInFlight[b.endpoints[n]]; {
+		case held < fewest:
+			best, fewest, ties = n, held, 1
+		case held == fewest:
+			if ties++; b.randomInt(ties) == 0 {
 				best = n
 			}
 		}
@@ -66,29 +66,29 @@
 }
 
 func (b *baseline) SetNow(logic.Millis) {}
-func (b *baseline) ListStarts()         { b.up = nil }
+func (b *baseline) ListStarts()         { b.endpoints = nil }
 func (b *baseline) ListEnds(bool)       {}
 func (b *baseline) Listed(id logic.EndpointID, h logic.Health, _ logic.ZoneID, _ logic.KindID, _ logic.CellID, _ float64, _ logic.Millis) {
-	kept := b.up[:0]
-	for _, o := range b.up {
+	kept := b.endpoints[:0]
+	for _, o := range b.endpoints {
 		if o != id {
 			kept = append(kept, o)
 		}
 	}
-	if b.up = kept; h == logic.Running {
-		b.up = append(b.up, id)
+	if b.endpoints = kept; h == logic.Running {
+		b.endpoints = append(b.endpoints, id)
 	}
 }
 func (b *baseline) ListCallFailed()          { b.SetTimer(1000, 1) }
 func (b *baseline) TimerFired(logic.TimerID) { b.Watch() }
 func (b *baseline) Arrive(id logic.ExchangeID, _ logic.ProductID, _ logic.TenantID, _ logic.KeyID, _ logic.Millis, _ float64, _ bool) {
-	if len(b.up) == 0 {
+	if len(b.endpoints) == 0 {
 		b.Shed(id, logic.NoEndpoint, 0)
 		return
 	}
-	to := b.up[b.pick(b)]
-	b.to[id] = to
-	b.held[to]++
+	to := b.endpoints[b.pick(b)]
+	b.endpointByExchange[id] = to
+	b.legsInFlight[to]++
 	b.Send(id, to, 0)
 }
 func (b *baseline) LegEnded(id logic.ExchangeID, _ logic.LegNo, o logic.Outcome, _ logic.Millis, _ bool) {
@@ -98,8 +98,8 @@
 	}
 }
 func (b *baseline) ClientLeft(id logic.ExchangeID) {
-	if to, out := b.to[id]; out {
-		b.held[to]--
-		delete(b.to, id)
+	if to, out := b.endpointByExchange[id]; out {
+		b.legsInFlight[to]--
+		delete(b.endpointByExchange, id)
 	}
 }
--- a/internal/virtual/faults.go
+++ b/internal/virtual/faults.go
@@ -10,116 +10,116 @@
 )
 
 // plan sets a fault's begin and end.
-func (w *world) plan(n int) error {
-	f := &w.s.Faults[n]
-	who, _ := w.s.Chosen(n)
-	if f.OnLink() && (f.Over != "upstream" || !slices.Contains([]string{"cut", "silent", "delay", "lose"}, f.What)) ||
-		slices.Contains([]string{"stop", "reload", "upgrade", "maint", "list-ends", "list-mute", "list-silent"}, f.What) {
-		return fmt.Errorf("faults[%d].what: %s %s is only there on sockets, not in virtual time", n, f.What, f.Over)
+func (sim *simulation) scheduleFault(n int) error {
+	f := &sim.scenario.Faults[n]
+	targets, _ := sim.scenario.FaultTargets(n)
+	if f.IsLinkFault() && (f.Link != "upstream" || !slices.Contains([]string{"cut", "silent", "delay", "lose"}, f.Kind)) ||
+		slices.Contains([]string{"stop", "reload", "upgrade", "maint", "list-ends", "list-mute", "list-silent"}, f.Kind) {
+		return fmt.Errorf("faults[%d].what: %s %s is only there on sockets, not in virtual time", n, f.Kind, f.Link)
 	}
-	if f.What == "list-off" || f.What == "list-late" {
-		who = make([]scenario.Place, 1)
+	if f.Kind == "list-off" || f.Kind == "list-late" {
+		targets = make([]scenario.Node, 1)
 	}
-	for k, p := range who {
-		at := (f.At + float64(k)*f.Step) * 1000
-		w.after(at, func() { w.begin(n, f, p) })
-		if f.For > 0 {
-			w.after(at+f.For*1000, func() { w.end(n, f, p) })
+	for k, p := range targets {
+		at := (f.At + float64(k)*f.Stagger) * 1000
+		sim.after(at, func() { sim.beginFault(n, f, p) })
+		if f.Duration > 0 {
+			sim.after(at+f.Duration*1000, func() { sim.endFault(n, f, p) })
 		}
 	}
 	return nil
 }
 
-func (w *world) begin(n int, f *scenario.Fault, p scenario.Place) {
-	e := w.current[p.Name]
-	switch f.What {
+func (sim *simulation) beginFault(n int, f *scenario.Fault, p scenario.Node) {
+	e := sim.currentByName[p.Name]
+	switch f.Kind {
 	case "slow":
-		e.alter(func() { e.model.Set(n, emulator.Fault{Slow: f.Size}) })
+		e.update(func() { e.model.Set(n, emulator.Fault{Slow: f.Size}) })
 	case "hang":
-		e.alter(func() { e.model.Set(n, emulator.Fault{Hang: true}) })
+		e.update(func() { e.model.Set(n, emulator.Fault{Hang: true}) })
 	case "errors":
-		e.alter(func() { e.model.Set(n, emulator.Fault{Errors: f.Size}) })
+		e.update(func() { e.model.Set(n, emulator.Fault{Errors: f.Size}) })
 	case "crash":
-		e.alter(func() { e.model.Stop(); e.gone = true })
-		e.drop()
+		e.update(func() { e.model.Stop(); e.stopped = true })
+		e.dropAll()
 	case "drain", "replace":
-		w.book.Out(e.number, w.now)
+		sim.book.Out(e.recordNumber, sim.now)
 		e.state = logic.NotRunning
-		w.listChanged(e)
-		if f.What == "replace" {
-			w.addEndpoint(p, e.name+"n", true)
+		sim.listChanged(e)
+		if f.Kind == "replace" {
+			sim.addEndpoint(p, e.name+"n", true)
 		}
-		w.after(leaveTime, func() {
+		sim.after(drainTimeMs, func() {
 			e.state = logic.Gone
-			w.listChanged(e)
-			w.after(drainGrace, func() { e.alter(func() { e.model.Stop(); e.gone = true }); e.drop() })
+			sim.listChanged(e)
+			sim.after(drainGraceMs, func() { e.update(func() { e.model.Stop(); e.stopped = true }); e.dropAll() })
 		})
 	case "kill", "restart":
-		c := w.sidecars[p.Number]
-		w.book.Excuse(c.Number, w.now, w.now+1, "killed")
+		c := sim.sidecars[p.Number]
+		sim.book.Excuse(c.Number, sim.now, sim.now+1, "killed")
 		c.down = true
-		c.life++
-		for _, x := range c.open {
+		c.restarts++
+		for _, x := range c.exchanges {
 			for _, g := range x.legs {
-				g.over = true
+				g.ended = true
 			}
 		}
 		ids := []string{}
-		for id := range c.open {
+		for id := range c.exchanges {
 			ids = append(ids, string(id))
 		}
 		slices.Sort(ids)
 		for _, id := range ids {
-			for _, g := range c.open[logic.ExchangeID(id)].legs {
-				if g.began && g.to.held[g.job] == g {
-					e := g.to
-					e.alter(func() { delete(e.held, g.job); e.model.Cancel(g.job) })
-					w.book.End(g.account, "left", w.now)
+			for _, g := range c.exchanges[logic.ExchangeID(id)].legs {
+				if g.arrived && g.endpoint.legsByJob[g.job] == g {
+					e := g.endpoint
+					e.update(func() { delete(e.legsByJob, g.job); e.model.Cancel(g.job) })
+					sim.book.End(g.record, "left", sim.now)
 				}
 			}
 		}
-		c.open = map[logic.ExchangeID]*exchange{}
-		if f.What == "restart" {
-			w.after(1000, c.start)
+		c.exchanges = map[logic.ExchangeID]*exchange{}
+		if f.Kind == "restart" {
+			sim.after(1000, c.start)
 		}
 	case "cut", "silent", "delay", "lose":
-		c := w.sidecars[p.Number]
-		c.links = append(c.links, n)
-		if f.What == "cut" {
-			clear(c.idle)
+		c := sim.sidecars[p.Number]
+		c.linkFaults = append(c.linkFaults, n)
+		if f.Kind == "cut" {
+			clear(c.idleConnections)
 		}
 	case "list-off":
-		w.listOff++
-		for _, c := range w.sidecars {
-			if c.asking && !c.down {
-				c.asking = false
-				c.decider.SetNow(logic.Millis(w.now + epoch))
+		sim.listOutages++
+		for _, c := range sim.sidecars {
+			if c.watching && !c.down {
+				c.watching = false
+				c.decider.SetNow(logic.Millis(sim.now + epochMs))
 				c.decider.ListCallFailed()
 			}
 		}
 	case "list-late":
-		w.listLate += f.Size * 1000
+		sim.listDelayMs += f.Size * 1000
 	}
 }
 
-func (w *world) end(n int, f *scenario.Fault, p scenario.Place) {
-	e := w.current[p.Name]
-	switch f.What {
+func (sim *simulation) endFault(n int, f *scenario.Fault, p scenario.Node) {
+	e := sim.currentByName[p.Name]
+	switch f.Kind {
 	case "slow", "hang", "errors":
-		e.alter(func() { e.model.Clear(n) })
+		e.update(func() { e.model.Clear(n) })
 	case "crash":
-		e.model.Advance(w.now, e.done)
-		e.gone, e.started = false, w.now+epoch
-		e.model.Restart(w.now)
-		w.listChanged(e)
+		e.model.Advance(sim.now, e.jobDone)
+		e.stopped, e.startedAt = false, sim.now+epochMs
+		e.model.Restart(sim.now)
+		sim.listChanged(e)
 	case "kill":
-		w.sidecars[p.Number].start()
+		sim.sidecars[p.Number].start()
 	case "cut", "silent", "delay", "lose":
-		c := w.sidecars[p.Number]
-		c.links = slices.DeleteFunc(c.links, func(o int) bool { return o == n })
+		c := sim.sidecars[p.Number]
+		c.linkFaults = slices.DeleteFunc(c.linkFaults, func(o int) bool { return o == n })
 	case "list-off":
-		w.listOff--
+		sim.listOutages--
 	case "list-late":
-		w.listLate -= f.Size * 1000
+		sim.listDelayMs -= f.Size * 1000
 	}
 }
--- a/internal/virtual/golden_test.go
+++ b/internal/virtual/golden_test.go
@@ -32,8 +32,8 @@
 	goldenArch = "amd64"
 	goldenHead = "# day, seed, calls, hash of all calls, hash of the calls of each second; golden_test.go tells how to write it anew\n"
 
-	seedsPerDay = 2
-	secondWide  = 1000.0 // milliseconds of virtual time that share a hash
+	seedsPerCase   = 2
+	hashIntervalMs = 1000.0 // milliseconds of virtual time that share a hash
 )
 
 var (
@@ -86,7 +86,7 @@
 		}
 	}
 	l.line = append(line, '\n')
-	second := int(now / secondWide)
+	second := int(now / hashIntervalMs)
 	for len(l.seconds) <= second {
 		l.seconds, l.counts = append(l.seconds, fnv.New32a()), append(l.counts, 0)
 	}
@@ -102,28 +102,28 @@
 }
 
 // goldenDay is what the record keeps of one day and seed.
-type goldenDay struct {
+type caseRecord struct {
 	name    string // day and seed
 	calls   int
 	all     string
 	seconds []string
 }
 
-func (l *callLog) day(name string) goldenDay {
-	day := goldenDay{name: name, calls: l.count, all: fmt.Sprintf("%016x", l.all.Sum64())}
+func (l *callLog) summary(name string) caseRecord {
+	record := caseRecord{name: name, calls: l.count, all: fmt.Sprintf("%016x", l.all.Sum64())}
 	for _, second := range l.seconds {
 		sum := second.Sum32()
-		day.seconds = append(day.seconds, fmt.Sprintf("%04x", uint16(sum>>16)^uint16(sum)))
+		record.seconds = append(record.seconds, fmt.Sprintf("%04x", uint16(sum>>16)^uint16(sum)))
 	}
-	return day
+	return record
 }
 
-func (d goldenDay) String() string {
+func (d caseRecord) String() string {
 	return fmt.Sprintf("%s %d %s %s", d.name, d.calls, d.all, strings.Join(d.seconds, " "))
 }
 
 // difference names the first second in which two records of a day differ, "" if they are the same.
-func (d goldenDay) difference(recorded goldenDay) string {
+func (d caseRecord) difference(recorded caseRecord) string {
 	if d.String() == recorded.String() {
 		return ""
 	}
@@ -139,51 +139,51 @@
 	return fmt.Sprintf("%s: the calls differ; %d in all, %d in the record", d.name, d.calls, recorded.calls)
 }
 
-func readGolden(t *testing.T) map[string]goldenDay {
+func readGolden(t *testing.T) map[string]caseRecord {
 	text, err := os.ReadFile(goldenFile)
 	require.NoError(t, err)
-	days := map[string]goldenDay{}
+	records := map[string]caseRecord{}
 	for line := range strings.Lines(string(text)) {
 		if fields := strings.Fields(line); len(fields) > 4 && !strings.HasPrefix(line, "#") {
 			calls, err := strconv.Atoi(fields[2])
 			require.NoError(t, err, line)
 			name := fields[0] + " " + fields[1]
-			days[name] = goldenDay{name: name, calls: calls, all: fields[3], seconds: fields[4:]}
+			records[name] = caseRecord{name: name, calls: calls, all: fields[3], seconds: fields[4:]}
 		}
 	}
-	return days
+	return records
 }
 
 // playGolden plays a day with one seed and returns its record.
-func playGolden(t *testing.T, d *day, seed uint64) goldenDay {
-	s := parse(t, d.text(), seed)
-	log := newCallLog(t, fmt.Sprintf("%s-%d", d.name, seed))
-	f := &goldenFleet{day: d, log: log}
-	_, err := Run(s, f.start)
+func runGoldenCase(t *testing.T, c *goldenCase, seed uint64) caseRecord {
+	s := parseScenario(t, c.scenarioFile(), seed)
+	log := newCallLog(t, fmt.Sprintf("%s-%d", c.name, seed))
+	f := &goldenFleet{goldenCase: c, log: log}
+	_, err := Run(s, f.newDecider)
 	require.NoError(t, err)
-	return log.day(fmt.Sprintf("%s %d", d.name, seed))
+	return log.summary(fmt.Sprintf("%s %d", c.name, seed))
 }
 
 // No call that goes out of the module changes unnoticed.
-func TestDecisionsAreThoseOfTheRecord(t *testing.T) {
+func TestDecisionsMatchTheGoldenRecord(t *testing.T) {
 	inCI := os.Getenv("CI") == "true"
 	if runtime.GOARCH != goldenArch {
 		require.False(t, inCI, "the record is one of %s", goldenArch)
 		t.Skipf("the record is one of %s, this is %s", goldenArch, runtime.GOARCH)
 	}
 	require.False(t, inCI && *update, "-update is refused in CI")
-	recorded, text := map[string]goldenDay{}, goldenHead
+	recorded, text := map[string]caseRecord{}, goldenHead
 	if !*update {
 		recorded = readGolden(t)
-		assert.Len(t, recorded, len(days)*seedsPerDay, "days in the record")
+		assert.Len(t, recorded, len(goldenCases)*seedsPerCase, "days in the record")
 	}
-	for n := range days {
-		for seed := range uint64(seedsPerDay) {
+	for n := range goldenCases {
+		for seed := range uint64(seedsPerCase) {
 			seed += uint64(n)*100 + 1
-			t.Run(fmt.Sprintf("%s/%d", days[n].name, seed), func(t *testing.T) {
-				played := playGolden(t, &days[n], seed)
-				text += played.String() + "\n"
-				if difference := played.difference(recorded[played.name]); difference != "" && !*update {
+			t.Run(fmt.Sprintf("%s/%d", goldenCases[n].name, seed), func(t *testing.T) {
+				got := runGoldenCase(t, &goldenCases[n], seed)
+				text += got.String() + "\n"
+				if difference := got.difference(recorded[got.name]); difference != "" && !*update {
 					t.Error(difference)
 				}
 			})
@@ -196,11 +196,11 @@
 }
 
 // The record tells times apart to the last bit, and arguments, callers and the order of calls.
-func TestRecordTellsCallsApart(t *testing.T) {
+func TestRecordDistinguishesCalls(t *testing.T) {
 	of := func(calls func(l *callLog)) string {
 		l := &callLog{all: fnv.New64a(), now: func() float64 { return 0.1 }}
 		calls(l)
-		return l.day("d 1").String()
+		return l.summary("d 1").String()
 	}
 	send := func(sidecar int, to string, after logic.Millis) func(l *callLog) {
 		return func(l *callLog) { l.add(sidecar, 0, "send", "x", to, after) }
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	way        = 0.25 // ms from one machine to another
-	grace      = 20.0 // ms past the abandon time in which a sidecar still answers, as internal/sidecar has it
-	drainGrace = 1000.0
-	leaveTime  = 5000.0
-	acrossZone = 0.5 // ms more
+	networkDelayMs   = 0.25 // ms from one machine to another
+	answerGraceMs    = 20.0 // ms past the abandon time in which a sidecar still answers, as internal/sidecar has it
+	drainGraceMs     = 1000.0
+	drainTimeMs      = 5000.0
+	crossZoneDelayMs = 0.5 // ms more
 )
 
 // Decider is what decides: the module, or a baseline.
@@ -40,10 +40,10 @@
 }
 
 // Maker starts a decider.
-type Maker func(t logic.Terms, out logic.Outgoing, now logic.Millis) Decider
+type DeciderFactory func(t logic.Terms, out logic.Outgoing, now logic.Millis) Decider
 
 // Module is the maker of the program's own.
-func Module(t logic.Terms, out logic.Outgoing, now logic.Millis) Decider {
+func NewModule(t logic.Terms, out logic.Outgoing, now logic.Millis) Decider {
 	return logic.New(t, out, now)
 }
 
@@ -55,33 +55,33 @@
 }
 
 // events are a binary heap, without the boxes that container/heap would make for each.
-type events []event
+type eventQueue []event
 
 func (e event) before(o event) bool { return e.at < o.at || e.at == o.at && e.order < o.order }
 
-func (q *events) push(e event) {
+func (q *eventQueue) push(e event) {
 	h := append(*q, e)
 	n := len(h) - 1
-	for up := (n - 1) / 2; n > 0 && e.before(h[up]); n, up = up, (up-1)/2 {
-		h[n] = h[up]
+	for parent := (n - 1) / 2; n > 0 && e.before(h[parent]); n, parent = parent, (parent-1)/2 {
+		h[n] = h[parent]
 	}
 	h[n], *q = e, h
 }
 
-func (q *events) pop() event {
+func (q *eventQueue) pop() event {
 	h := *q
 	first, last := h[0], h[len(h)-1]
 	h[len(h)-1] = event{}
 	h = h[:len(h)-1]
 	n := 0
-	for down := 1; down < len(h); down = 2*n + 1 {
-		if down+1 < len(h) && h[down+1].before(h[down]) {
-			down++
+	for child := 1; child < len(h); child = 2*n + 1 {
+		if child+1 < len(h) && h[child+1].before(h[child]) {
+			child++
 		}
-		if !h[down].before(last) {
+		if !h[child].before(last) {
 			break
 		}
-		h[n], n = h[down], down
+		h[n], n = h[child], child
 	}
 	if len(h) > 0 {
 		h[n] = last
@@ -91,132 +91,132 @@
 }
 
 // world is one run.
-type world struct {
-	s         *scenario.Scenario
-	book      *records.Book
-	queue     events
-	order     uint64
-	now       float64
-	endpoints []*endpoint
-	current   map[string]*endpoint
-	named     map[logic.EndpointID]*endpoint
-	sidecars  []*sidecar
-	listOff   int
-	listLate  float64
-	version   int
-	make      Maker
-	settings  map[string]*fastjson.Value
-	err       error
-}
-
-func (w *world) after(wait float64, do func()) {
-	w.order++
-	w.queue.push(event{w.now + wait, w.order, do})
+type simulation struct {
+	scenario       *scenario.Scenario
+	book           *records.Book
+	queue          eventQueue
+	lastOrder      uint64
+	now            float64
+	endpoints      []*endpoint
+	currentByName  map[string]*endpoint
+	endpointByID   map[logic.EndpointID]*endpoint
+	sidecars       []*sidecar
+	listOutages    int
+	listDelayMs    float64
+	listVersion    int
+	newDecider     DeciderFactory
+	settingsByZone map[string]*fastjson.Value
+	err            error
+}
+
+func (sim *simulation) after(wait float64, do func()) {
+	sim.lastOrder++
+	sim.queue.push(event{sim.now + wait, sim.lastOrder, do})
 }
 
 // endpoint is the model and what it holds for whom.
 type endpoint struct {
-	scenario.Place
-	name    string
-	number  int
-	model   *emulator.Endpoint
-	held    map[uint64]*leg
-	jobs    uint64
-	nextAt  float64
-	falls   int
-	gone    bool
-	state   logic.Health
-	started float64
-	changed int // version of the list
-	world   *world
+	scenario.Node
+	name           string
+	recordNumber   int
+	model          *emulator.Endpoint
+	legsByJob      map[uint64]*leg
+	lastJob        uint64
+	nextEventAt    float64
+	fallsRecorded  int
+	stopped        bool
+	state          logic.Health
+	startedAt      float64
+	changedVersion int // version of the list
+	sim            *simulation
 }
 
 // leg is one on its way.
 type leg struct {
-	x       *exchange
-	n       logic.LegNo
-	to      *endpoint
-	account *records.Leg
-	sent    float64
-	job     uint64
-	over    bool // its end was told, or needs none
-	began   bool // it came to the endpoint
+	exchange *exchange
+	number   logic.LegNo
+	endpoint *endpoint
+	record   *records.Leg
+	sentAt   float64
+	job      uint64
+	ended    bool // its end was told, or needs none
+	arrived  bool // it came to the endpoint
 }
 
 // exchange is one at its sidecar.
 type exchange struct {
 	*records.Exchange
-	by       *sidecar
+	sidecar  *sidecar
 	legs     []*leg
 	answered bool
 }
 
 // sidecar is one instance.
 type sidecar struct {
-	scenario.Place
-	world   *world
-	decider Decider
-	names   *terms.Names
-	open    map[logic.ExchangeID]*exchange
-	idle    map[*endpoint]int
-	links   []int // faults in force on its links upstream
-	life    int   // counts restarts
-	down    bool
-	heard   int // version of the list that it knows; below 0 for none
-	asking  bool
+	scenario.Node
+	sim             *simulation
+	decider         Decider
+	names           *terms.Names
+	exchanges       map[logic.ExchangeID]*exchange
+	idleConnections map[*endpoint]int
+	linkFaults      []int // faults in force on its links upstream
+	restarts        int   // counts restarts
+	down            bool
+	knownVersion    int // version of the list that it knows; below 0 for none
+	watching        bool
 }
 
 // Run plays a scenario and returns the accounts.
-func Run(s *scenario.Scenario, maker Maker) (*records.Book, error) {
-	b := records.Terms{Grace: 550, Drain: drainGrace, Free: s.Fleet.ExtraFree, Ratio: s.Fleet.ExtraRatio, LookBack: s.Fleet.LookBack * 1000}
+func Run(s *scenario.Scenario, newDecider DeciderFactory) (*records.Book, error) {
+	recordTerms := records.Terms{Grace: 550, Drain: drainGraceMs, Free: s.Fleet.ExtraFree, Ratio: s.Fleet.ExtraRatio, LookBack: s.Fleet.BudgetWindow * 1000}
 	for _, p := range s.Products {
-		b.Products = append(b.Products, records.Product{Name: p.Name, Expected: p.Expected, Abandon: p.Abandon,
+		recordTerms.Products = append(recordTerms.Products, records.Product{Name: p.Name, Expected: p.ExpectedTime, Abandon: p.AbandonTime,
 			SingleUse: p.Effect == "single-use", Referenced: p.Effect == "referenced"})
 	}
-	w := &world{s: s, book: records.New(b), current: map[string]*endpoint{}, named: map[logic.EndpointID]*endpoint{}, make: maker, settings: map[string]*fastjson.Value{}}
-	w.book.Slack = func(sidecar, _ int, _ float64) float64 { return w.sidecars[sidecar].delay() * 2 }
-	for _, p := range s.Places() {
-		w.addEndpoint(p, p.Name, false)
+	sim := &simulation{scenario: s, book: records.New(recordTerms), currentByName: map[string]*endpoint{}, endpointByID: map[logic.EndpointID]*endpoint{}, newDecider: newDecider, settingsByZone: map[string]*fastjson.Value{}}
+	sim.book.Slack = func(sidecar, _ int, _ float64) float64 { return sim.sidecars[sidecar].totalLinkDelay() * 2 }
+	for _, p := range s.EndpointNodes() {
+		sim.addEndpoint(p, p.Name, false)
 	}
-	for _, p := range s.Sidecars() {
-		c := &sidecar{Place: p, world: w}
-		w.sidecars = append(w.sidecars, c)
+	for _, p := range s.SidecarNodes() {
+		c := &sidecar{Node: p, sim: sim}
+		sim.sidecars = append(sim.sidecars, c)
 		c.start()
 	}
 	for n := range s.Faults {
-		if err := w.plan(n); err != nil {
+		if err := sim.scheduleFault(n); err != nil {
 			return nil, err
 		}
 	}
-	asks := s.Asks()
-	for n := 0; n < len(asks) || len(w.queue) > 0; {
-		if n < len(asks) && (len(w.queue) == 0 || asks[n].At <= w.queue[0].at) {
-			w.now = asks[n].At
-			w.sidecars[asks[n].Sidecar].ask(asks[n])
+	arrivals := s.Arrivals()
+	for n := 0; n < len(arrivals) || len(sim.queue) > 0; {
+		if n < len(arrivals) && (len(sim.queue) == 0 || arrivals[n].At <= sim.queue[0].at) {
+			sim.now = arrivals[n].At
+			sim.sidecars[arrivals[n].Sidecar].arrive(arrivals[n])
 			n++
 			continue
 		}
-		e := w.queue.pop()
-		if w.now = e.at; n == len(asks) && w.now > s.Length*1000+60000 {
+		e := sim.queue.pop()
+		if sim.now = e.at; n == len(arrivals) && sim.now > s.Length*1000+60000 {
 			break // the module's own beat goes on for ever
 		}
 		e.do()
-		if w.err != nil {
-			return nil, w.err
+		if sim.err != nil {
+			return nil, sim.err
 		}
-		if n == len(asks) && w.idle() {
+		if n == len(arrivals) && sim.allAnswered() {
 			break
 		}
 	}
-	return w.book, nil
+	return sim.book, nil
 }
 
-func (w *world) idle() bool {
-	if w.now < w.s.Length*1000 {
+func (sim *simulation) allAnswered() bool {
+	if sim.now < sim.scenario.Length*1000 {
 		return false
 	}
-	for _, c := range w.sidecars {
-		if len(c.open) > 0 {
+	for _, c := range sim.sidecars {
+		if len(c.exchanges) > 0 {
 			return false
 		}
 	}
@@ -225,344 +225,344 @@
 
 // ---- endpoints and the list
 
-func (w *world) addEndpoint(p scenario.Place, name string, cold bool) {
-	e := &endpoint{Place: p, name: name, held: map[uint64]*leg{}, world: w, state: logic.Running, nextAt: math.Inf(1)}
+func (sim *simulation) addEndpoint(p scenario.Node, name string, cold bool) {
+	e := &endpoint{Node: p, name: name, legsByJob: map[uint64]*leg{}, sim: sim, state: logic.Running, nextEventAt: math.Inf(1)}
 	started := -1e12
 	if cold {
-		started, e.started = w.now, w.now+epoch
+		started, e.startedAt = sim.now, sim.now+epochMs
 	}
-	e.number = w.book.Endpoint(name, w.now)
-	e.model = emulator.New(w.s.Kind(p), w.s.SeedOf(name), started, w.now)
-	w.endpoints = append(w.endpoints, e)
-	w.current[p.Name], w.named[logic.EndpointID(name)] = e, e
-	w.listChanged(e)
+	e.recordNumber = sim.book.Endpoint(name, sim.now)
+	e.model = emulator.New(sim.scenario.EmulatorKind(p), sim.scenario.SeedOf(name), started, sim.now)
+	sim.endpoints = append(sim.endpoints, e)
+	sim.currentByName[p.Name], sim.endpointByID[logic.EndpointID(name)] = e, e
+	sim.listChanged(e)
 }
 
 // epoch keeps the module's clock away from 0, which means "long ago" to it.
-const epoch = 1e9
-
-func (w *world) listChanged(e *endpoint) {
-	w.after(w.listLate, func() {
-		w.version++
-		e.changed = w.version
-		for _, c := range w.sidecars {
-			c.tell()
+const epochMs = 1e9
+
+func (sim *simulation) listChanged(e *endpoint) {
+	sim.after(sim.listDelayMs, func() {
+		sim.listVersion++
+		e.changedVersion = sim.listVersion
+		for _, c := range sim.sidecars {
+			c.updateList()
 		}
 	})
 }
 
 // tell brings a sidecar's list up to date, as a watch would.
-func (c *sidecar) tell() {
-	if !c.asking || c.down || c.world.listOff > 0 {
+func (c *sidecar) updateList() {
+	if !c.watching || c.down || c.sim.listOutages > 0 {
 		return
 	}
-	life := c.life
-	c.world.after(way, func() {
-		if c.life != life || c.down || c.world.listOff > 0 || c.heard == c.world.version && c.heard >= 0 {
+	restarts := c.restarts
+	c.sim.after(networkDelayMs, func() {
+		if c.restarts != restarts || c.down || c.sim.listOutages > 0 || c.knownVersion == c.sim.listVersion && c.knownVersion >= 0 {
 			return
 		}
-		c.decider.SetNow(logic.Millis(c.world.now + epoch))
-		if c.heard < 0 {
+		c.decider.SetNow(logic.Millis(c.sim.now + epochMs))
+		if c.knownVersion < 0 {
 			c.decider.ListStarts()
 		}
-		for _, e := range c.world.endpoints {
-			if e.changed <= c.heard || c.heard < 0 && e.state == logic.Gone {
+		for _, e := range c.sim.endpoints {
+			if e.changedVersion <= c.knownVersion || c.knownVersion < 0 && e.state == logic.Gone {
 				continue
 			}
-			c.decider.Listed(logic.EndpointID(e.name), e.state, c.names.Zone([]byte(e.Zone)), 0, 1, 1, logic.Millis(e.started))
+			c.decider.Listed(logic.EndpointID(e.name), e.state, c.names.Zone([]byte(e.Zone)), 0, 1, 1, logic.Millis(e.startedAt))
 			if e.state != logic.Running {
-				c.world.book.Told(c.Number, e.number, c.world.now, "listed")
+				c.sim.book.Told(c.Number, e.recordNumber, c.sim.now, "listed")
 			}
 		}
-		c.heard = c.world.version
+		c.knownVersion = c.sim.listVersion
 		c.decider.ListEnds(false)
 	})
 }
 
 // arm sets the next event of the model.
-func (e *endpoint) arm() {
+func (e *endpoint) scheduleNext() {
 	next := e.model.Next()
-	if next >= e.nextAt || math.IsInf(next, 1) {
+	if next >= e.nextEventAt || math.IsInf(next, 1) {
 		return
 	}
-	e.nextAt = next
-	e.world.after(next-e.world.now, func() {
-		if e.nextAt == next {
-			e.nextAt = math.Inf(1)
-			e.alter(func() {})
+	e.nextEventAt = next
+	e.sim.after(next-e.sim.now, func() {
+		if e.nextEventAt == next {
+			e.nextEventAt = math.Inf(1)
+			e.update(func() {})
 		}
 	})
 }
 
-func (e *endpoint) alter(how func()) {
-	e.model.Advance(e.world.now, e.done)
-	how()
-	e.arm()
+func (e *endpoint) update(change func()) {
+	e.model.Advance(e.sim.now, e.jobDone)
+	change()
+	e.scheduleNext()
 }
 
-func (e *endpoint) done(d emulator.Done) {
-	g := e.held[d.ID]
-	delete(e.held, d.ID)
-	outcome, word := logic.Succeeded, "satisfied"
+func (e *endpoint) jobDone(d emulator.Done) {
+	g := e.legsByJob[d.ID]
+	delete(e.legsByJob, d.ID)
+	outcome, outcomeName := logic.Succeeded, "satisfied"
 	if !d.OK {
-		outcome, word = logic.Errored, "errored"
+		outcome, outcomeName = logic.Errored, "errored"
 	}
-	e.world.book.End(g.account, word, d.At)
-	g.back(outcome, true)
+	e.sim.book.End(g.record, outcomeName, d.At)
+	g.returnOutcome(outcome, true)
 }
 
 // drop ends all that an endpoint holds, as the end of its process does.
-func (e *endpoint) drop() {
+func (e *endpoint) dropAll() {
 	jobs := []uint64{}
-	for id := range e.held {
+	for id := range e.legsByJob {
 		jobs = append(jobs, id)
 	}
 	slices.Sort(jobs)
 	for _, id := range jobs {
-		g := e.held[id]
-		delete(e.held, id)
-		e.world.book.End(g.account, "cut", e.world.now)
-		g.back(logic.Reset, false)
+		g := e.legsByJob[id]
+		delete(e.legsByJob, id)
+		e.sim.book.End(g.record, "cut", e.sim.now)
+		g.returnOutcome(logic.Reset, false)
 	}
-	for _, c := range e.world.sidecars {
-		delete(c.idle, e)
+	for _, c := range e.sim.sidecars {
+		delete(c.idleConnections, e)
 	}
 }
 
 // back brings a leg's end to its sidecar.
-func (g *leg) back(o logic.Outcome, keep bool) {
-	c := g.x.by
+func (g *leg) returnOutcome(o logic.Outcome, keepConnection bool) {
+	c := g.exchange.sidecar
 	if o == logic.Succeeded || o == logic.Errored || o == logic.Full {
-		if l := c.lost(); l > 0 && c.world.draw() < l {
-			o, keep = logic.Reset, false
+		if l := c.answerLossShare(); l > 0 && c.sim.randomFraction() < l {
+			o, keepConnection = logic.Reset, false
 		}
 	}
-	wait := c.trip(g.to)
+	wait := c.oneWayDelay(g.endpoint)
 	if math.IsInf(wait, 1) {
 		return // it comes when the link is back: by then its sidecar has given up
 	}
-	c.world.after(wait, func() {
-		if keep && !g.over && !g.to.gone {
-			c.idle[g.to]++
+	c.sim.after(wait, func() {
+		if keepConnection && !g.ended && !g.endpoint.stopped {
+			c.idleConnections[g.endpoint]++
 		}
-		g.end(o)
+		g.reportEnd(o)
 	})
 }
 
 // end tells the module of a leg's end, once.
-func (g *leg) end(o logic.Outcome) {
-	c, w := g.x.by, g.x.by.world
-	if g.over || c.open[logic.ExchangeID(g.x.ID)] != g.x {
-		g.over = true
+func (g *leg) reportEnd(o logic.Outcome) {
+	c, sim := g.exchange.sidecar, g.exchange.sidecar.sim
+	if g.ended || c.exchanges[logic.ExchangeID(g.exchange.ID)] != g.exchange {
+		g.ended = true
 		return
 	}
-	g.over = true
-	c.decider.SetNow(logic.Millis(w.now + epoch))
-	if o == logic.Succeeded && !g.x.answered {
-		g.x.answer(200)
+	g.ended = true
+	c.decider.SetNow(logic.Millis(sim.now + epochMs))
+	if o == logic.Succeeded && !g.exchange.answered {
+		g.exchange.answer(200)
 	}
-	c.decider.LegEnded(logic.ExchangeID(g.x.ID), g.n, o, logic.Millis(w.now-g.sent), g.x.answered)
-	g.x.forget()
+	c.decider.LegEnded(logic.ExchangeID(g.exchange.ID), g.number, o, logic.Millis(sim.now-g.sentAt), g.exchange.answered)
+	g.exchange.removeIfDone()
 }
 
 func (x *exchange) answer(status int) {
 	if !x.answered {
 		x.answered = true
-		x.by.world.book.Answered(x.Exchange, status, "", x.At, x.by.world.now)
+		x.sidecar.sim.book.Answered(x.Exchange, status, "", x.At, x.sidecar.sim.now)
 	}
 }
 
-func (x *exchange) forget() {
-	if !x.answered || slices.ContainsFunc(x.legs, func(g *leg) bool { return !g.over }) {
+func (x *exchange) removeIfDone() {
+	if !x.answered || slices.ContainsFunc(x.legs, func(g *leg) bool { return !g.ended }) {
 		return
 	}
-	delete(x.by.open, logic.ExchangeID(x.ID))
+	delete(x.sidecar.exchanges, logic.ExchangeID(x.ID))
 }
 
 // ---- sidecars
 
 func (c *sidecar) start() {
-	w := c.world
-	settings := w.settings[c.Zone]
+	sim := c.sim
+	settings := sim.settingsByZone[c.Zone]
 	if settings == nil {
-		text, err := json.Marshal(scenario.Settings(w.s, 0, c.Zone))
+		text, err := json.Marshal(scenario.Settings(sim.scenario, 0, c.Zone))
 		if err == nil {
 			settings, err = fastjson.ParseBytes(text)
 		}
 		if err != nil {
-			w.err = err
+			sim.err = err
 			return
 		}
-		w.settings[c.Zone] = settings
+		sim.settingsByZone[c.Zone] = settings
 	}
 	var t logic.Terms
-	t, c.names = terms.From(settings, w.s.SeedOf(fmt.Sprint("s", c.Number, "life", c.life)))
-	c.open, c.idle, c.heard, c.down, c.asking = map[logic.ExchangeID]*exchange{}, map[*endpoint]int{}, -1, false, false
+	t, c.names = terms.Parse(settings, sim.scenario.SeedOf(fmt.Sprint("s", c.Number, "life", c.restarts)))
+	c.exchanges, c.idleConnections, c.knownVersion, c.down, c.watching = map[logic.ExchangeID]*exchange{}, map[*endpoint]int{}, -1, false, false
 	t.HasList, t.SidecarNumber = true, logic.PeerID(c.Number)
-	c.decider = w.make(t, c, logic.Millis(w.now+epoch))
+	c.decider = sim.newDecider(t, c, logic.Millis(sim.now+epochMs))
 	c.decider.ListStarts()
-	for _, e := range w.endpoints {
+	for _, e := range sim.endpoints {
 		if e.state == logic.Running {
-			c.decider.Listed(logic.EndpointID(e.name), e.state, c.names.Zone([]byte(e.Zone)), 0, 1, 1, logic.Millis(e.started))
+			c.decider.Listed(logic.EndpointID(e.name), e.state, c.names.Zone([]byte(e.Zone)), 0, 1, 1, logic.Millis(e.startedAt))
 		}
 	}
 	c.decider.ListEnds(true)
 }
 
-func (c *sidecar) ask(a scenario.Ask) {
+func (c *sidecar) arrive(a scenario.Arrival) {
 	if c.down {
 		return
 	}
-	w := c.world
-	x := &exchange{by: c, Exchange: &records.Exchange{ID: a.ID, Sidecar: c.Number, Product: a.Product, Work: a.Work, At: a.At}}
-	w.book.Ask(x.Exchange)
+	sim := c.sim
+	x := &exchange{sidecar: c, Exchange: &records.Exchange{ID: a.ID, Sidecar: c.Number, Product: a.Product, Work: a.Work, At: a.At}}
+	sim.book.Ask(x.Exchange)
 	id := logic.ExchangeID(a.ID)
-	c.open[id] = x
-	c.decider.SetNow(logic.Millis(w.now + epoch))
-	abandon, life := w.s.Products[a.Product].Abandon, c.life
-	w.after(abandon+grace, func() {
-		if c.life == life && !x.answered {
-			c.decider.SetNow(logic.Millis(w.now + epoch))
+	c.exchanges[id] = x
+	c.decider.SetNow(logic.Millis(sim.now + epochMs))
+	abandon, restarts := sim.scenario.Products[a.Product].AbandonTime, c.restarts
+	sim.after(abandon+answerGraceMs, func() {
+		if c.restarts == restarts && !x.answered {
+			c.decider.SetNow(logic.Millis(sim.now + epochMs))
 			x.answer(504)
 			c.decider.ClientLeft(id)
-			x.forget()
+			x.removeIfDone()
 		}
 	})
-	c.decider.Arrive(id, logic.ProductID(a.Product), -1, 0, logic.Millis(w.now+abandon+epoch), 0, false)
+	c.decider.Arrive(id, logic.ProductID(a.Product), -1, 0, logic.Millis(sim.now+abandon+epochMs), 0, false)
 }
 
 func (c *sidecar) Send(id logic.ExchangeID, to logic.EndpointID, giveUpAfter logic.Millis) {
-	x, w := c.open[id], c.world
+	x, sim := c.exchanges[id], c.sim
 	if x == nil {
 		return
 	}
-	g := &leg{x: x, n: logic.LegNo(len(x.legs)), sent: w.now}
+	g := &leg{exchange: x, number: logic.LegNo(len(x.legs)), sentAt: sim.now}
 	x.legs = append(x.legs, g)
-	g.to = w.named[to]
-	left := x.At + w.s.Products[x.Product].Abandon - w.now
+	g.endpoint = sim.endpointByID[to]
+	timeLeft := x.At + sim.scenario.Products[x.Product].AbandonTime - sim.now
 	if giveUpAfter > 0 {
-		left = min(left, float64(giveUpAfter))
+		timeLeft = min(timeLeft, float64(giveUpAfter))
 	}
-	w.after(max(left, 0), func() { g.quit(logic.TimedOut) })
-	if g.to == nil || x.answered {
-		w.after(0, func() { g.end(logic.NotSent) })
+	sim.after(max(timeLeft, 0), func() { g.abandon(logic.TimedOut) })
+	if g.endpoint == nil || x.answered {
+		sim.after(0, func() { g.reportEnd(logic.NotSent) })
 		return
 	}
-	wait, fresh := c.trip(g.to), c.idle[g.to] == 0
-	if !fresh {
-		c.idle[g.to]--
+	wait, newConnection := c.oneWayDelay(g.endpoint), c.idleConnections[g.endpoint] == 0
+	if !newConnection {
+		c.idleConnections[g.endpoint]--
 	} else {
 		wait *= 3 // the connection's own round trip before it
 	}
 	if math.IsInf(wait, 1) {
 		return
 	}
-	w.after(wait, func() { g.arrive(fresh) })
+	sim.after(wait, func() { g.arrive(newConnection) })
 }
 
 // arrive is a leg's first byte at its endpoint.
-func (g *leg) arrive(fresh bool) {
-	e, w := g.to, g.x.by.world
-	if g.over {
+func (g *leg) arrive(newConnection bool) {
+	e, sim := g.endpoint, g.exchange.sidecar.sim
+	if g.ended {
 		return
 	}
-	if e.gone || !e.model.Up() && e.model.Falls == 0 {
-		w.after(g.x.by.trip(e), func() { g.end(logic.NoConnection) })
+	if e.stopped || !e.model.Up() && e.model.Falls == 0 {
+		sim.after(g.exchange.sidecar.oneWayDelay(e), func() { g.reportEnd(logic.NoConnection) })
 		return
 	}
-	g.began = true
-	g.account = &records.Leg{Exchange: g.x.ID, Endpoint: e.number, At: w.now, Fresh: fresh, Keyed: true, Work: g.x.Work}
-	w.book.Arrive(g.account)
-	if fresh {
-		w.book.Dial(e.number)
-	}
-	e.alter(func() {
-		e.jobs++
-		g.job = e.jobs
-		work := g.x.Work
-		if fresh {
-			work += w.s.Endpoints[e.Group].Handshake
+	g.arrived = true
+	g.record = &records.Leg{Exchange: g.exchange.ID, Endpoint: e.recordNumber, At: sim.now, Fresh: newConnection, Keyed: true, Work: g.exchange.Work}
+	sim.book.Arrive(g.record)
+	if newConnection {
+		sim.book.Dial(e.recordNumber)
+	}
+	e.update(func() {
+		e.lastJob++
+		g.job = e.lastJob
+		work := g.exchange.Work
+		if newConnection {
+			work += sim.scenario.Endpoints[e.GroupIndex].HandshakeWork
 		}
 		switch e.model.Arrive(g.job, work) {
 		case emulator.Accepted:
-			e.held[g.job] = g
+			e.legsByJob[g.job] = g
 		case emulator.Full:
-			w.book.End(g.account, "full", w.now)
-			g.back(logic.Full, true)
+			sim.book.End(g.record, "full", sim.now)
+			g.returnOutcome(logic.Full, true)
 		case emulator.Failed:
-			w.book.End(g.account, "failed", w.now)
-			g.back(logic.Errored, true)
+			sim.book.End(g.record, "failed", sim.now)
+			g.returnOutcome(logic.Errored, true)
 		case emulator.Down:
-			if e.model.Falls > e.falls {
-				e.falls = e.model.Falls
-				w.book.Fell(e.number, w.now)
+			if e.model.Falls > e.fallsRecorded {
+				e.fallsRecorded = e.model.Falls
+				sim.book.Fell(e.recordNumber, sim.now)
 			}
-			w.book.End(g.account, "cut", w.now)
-			g.back(logic.Reset, false)
-			e.drop()
+			sim.book.End(g.record, "cut", sim.now)
+			g.returnOutcome(logic.Reset, false)
+			e.dropAll()
 		}
 	})
 }
 
 // quit is a sidecar's end of a leg.
-func (g *leg) quit(o logic.Outcome) {
-	if g.over {
+func (g *leg) abandon(o logic.Outcome) {
+	if g.ended {
 		return
 	}
-	e, w := g.to, g.x.by.world
-	if g.began {
-		w.after(way, func() {
-			if e.held[g.job] == g {
-				e.alter(func() {
-					delete(e.held, g.job)
+	e, sim := g.endpoint, g.exchange.sidecar.sim
+	if g.arrived {
+		sim.after(networkDelayMs, func() {
+			if e.legsByJob[g.job] == g {
+				e.update(func() {
+					delete(e.legsByJob, g.job)
 					e.model.Cancel(g.job)
 				})
-				w.book.End(g.account, "left", w.now)
+				sim.book.End(g.record, "left", sim.now)
 			}
 		})
 	}
-	g.end(o)
+	g.reportEnd(o)
 }
 
 func (c *sidecar) Cancel(id logic.ExchangeID, n logic.LegNo) {
-	if x := c.open[id]; x != nil && int(n) < len(x.legs) {
-		c.world.after(0, func() { x.legs[n].quit(logic.Cancelled) })
+	if x := c.exchanges[id]; x != nil && int(n) < len(x.legs) {
+		c.sim.after(0, func() { x.legs[n].abandon(logic.Cancelled) })
 	}
 }
 
-func (c *sidecar) Shed(id logic.ExchangeID, _ logic.Reason, _ logic.Millis) { c.close(id, 503) }
-func (c *sidecar) Fail(id logic.ExchangeID, _ logic.Reason)                 { c.close(id, 502) }
+func (c *sidecar) Shed(id logic.ExchangeID, _ logic.Reason, _ logic.Millis) { c.answer(id, 503) }
+func (c *sidecar) Fail(id logic.ExchangeID, _ logic.Reason)                 { c.answer(id, 502) }
 
-func (c *sidecar) close(id logic.ExchangeID, status int) {
-	if x := c.open[id]; x != nil {
+func (c *sidecar) answer(id logic.ExchangeID, status int) {
+	if x := c.exchanges[id]; x != nil {
 		x.answer(status)
-		x.forget()
+		x.removeIfDone()
 	}
 }
 
 func (c *sidecar) SetTimer(after logic.Millis, t logic.TimerID) {
-	life := c.life
-	c.world.after(float64(after), func() {
-		if c.life == life && !c.down {
-			c.decider.SetNow(logic.Millis(c.world.now + epoch))
+	restarts := c.restarts
+	c.sim.after(float64(after), func() {
+		if c.restarts == restarts && !c.down {
+			c.decider.SetNow(logic.Millis(c.sim.now + epochMs))
 			c.decider.TimerFired(t)
 		}
 	})
 }
 
 func (c *sidecar) Watch() {
-	life := c.life
-	c.world.after(0, func() {
-		if c.life != life || c.down {
+	restarts := c.restarts
+	c.sim.after(0, func() {
+		if c.restarts != restarts || c.down {
 			return
 		}
-		if c.world.listOff > 0 {
-			c.decider.SetNow(logic.Millis(c.world.now + epoch))
+		if c.sim.listOutages > 0 {
+			c.decider.SetNow(logic.Millis(c.sim.now + epochMs))
 			c.decider.ListCallFailed()
 			return
 		}
-		c.asking = true
-		c.tell()
+		c.watching = true
+		c.updateList()
 	})
 }
 
@@ -571,17 +571,17 @@
 func (c *sidecar) Note(string)                     {}
 
 // trip is how long a message takes to an endpoint or back; infinite where the link is out.
-func (c *sidecar) trip(e *endpoint) float64 {
-	wait := way
+func (c *sidecar) oneWayDelay(e *endpoint) float64 {
+	wait := networkDelayMs
 	if e.Zone != c.Zone {
-		wait += acrossZone
+		wait += crossZoneDelayMs
 	}
-	for _, n := range c.links {
-		f := &c.world.s.Faults[n]
-		if _, to := c.world.s.Chosen(n); len(f.To) > 0 && !slices.ContainsFunc(to, func(p scenario.Place) bool { return p.Name == e.name }) {
+	for _, n := range c.linkFaults {
+		f := &c.sim.scenario.Faults[n]
+		if _, to := c.sim.scenario.FaultTargets(n); len(f.RemoteEndpoints) > 0 && !slices.ContainsFunc(to, func(p scenario.Node) bool { return p.Name == e.name }) {
 			continue
 		}
-		switch f.What {
+		switch f.Kind {
 		case "cut", "silent":
 			return math.Inf(1)
 		case "delay":
@@ -591,19 +591,19 @@
 	return wait
 }
 
-func (c *sidecar) delay() (most float64) {
-	for _, f := range c.world.s.Faults {
-		if f.Over == "upstream" && f.What == "delay" {
-			most += f.Size
+func (c *sidecar) totalLinkDelay() (total float64) {
+	for _, f := range c.sim.scenario.Faults {
+		if f.Link == "upstream" && f.Kind == "delay" {
+			total += f.Size
 		}
 	}
-	return most
+	return total
 }
 
 // lost is the share of answers that are lost on the way.
-func (c *sidecar) lost() (share float64) {
-	for _, n := range c.links {
-		if f := &c.world.s.Faults[n]; f.What == "lose" {
+func (c *sidecar) answerLossShare() (share float64) {
+	for _, n := range c.linkFaults {
+		if f := &c.sim.scenario.Faults[n]; f.Kind == "lose" {
 			share = max(share, f.Size)
 		}
 	}
@@ -611,8 +611,8 @@
 }
 
 // draw is a number from 0 to 1 that follows from the run so far.
-func (w *world) draw() float64 {
-	z := (w.order + w.s.Seed) * 0x9e3779b97f4a7c15
+func (sim *simulation) randomFraction() float64 {
+	z := (sim.lastOrder + sim.scenario.Seed) * 0x9e3779b97f4a7c15
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return float64((z^z>>31)>>11) / (1 << 53)
--- a/internal/virtual/virtual_test.go
+++ b/internal/virtual/virtual_test.go
@@ -14,7 +14,7 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-func text(sidecars int, rate float64, endpoints, length int, faults string) string {
+func scenarioText(sidecars int, rate float64, endpoints, length int, faults string) string {
 	return fmt.Sprintf(`length_s = %d
 [fleet]
 sidecars = %d
@@ -44,7 +44,7 @@
 %s`, length, sidecars, rate, endpoints, faults)
 }
 
-const faults = `[[faults]]
+const mixedFaults = `[[faults]]
 at_s = 1
 for_s = 2
 what = "slow"
@@ -90,15 +90,15 @@
 what = "list-off"
 `
 
-func parse(t testing.TB, text string, seed uint64) *scenario.Scenario {
+func parseScenario(t testing.TB, text string, seed uint64) *scenario.Scenario {
 	s, err := scenario.Parse("t.toml", []byte(text))
 	require.NoError(t, err)
 	s.Seed = seed
 	return s
 }
 
-func account(t testing.TB, s *scenario.Scenario, maker Maker) (*records.Book, string) {
-	book, err := Run(s, maker)
+func runAndReport(t testing.TB, s *scenario.Scenario, newDecider DeciderFactory) (*records.Book, string) {
+	book, err := Run(s, newDecider)
 	require.NoError(t, err)
 	b := strings.Builder{}
 	fmt.Fprint(&b, book.Lines(s.Length*1000, 250), book.Service(0, s.Length*1000, -1), book.Dialled, book.Check())
@@ -106,30 +106,32 @@
 }
 
 // The same seed gives the same account to the byte, with one worker and with eight; another seed another one.
-func TestSameSeedSameBytes(t *testing.T) {
+func TestSameSeedGivesTheSameReport(t *testing.T) {
 	const runs = 8
-	alone, together := [runs]string{}, [runs]string{}
+	sequential, concurrent := [runs]string{}, [runs]string{}
 	for n := range runs {
-		_, alone[n] = account(t, parse(t, text(12, 20, 12, 6, faults), uint64(n/2+1)), Module)
+		_, sequential[n] = runAndReport(t, parseScenario(t, scenarioText(12, 20, 12, 6, mixedFaults), uint64(n/2+1)), NewModule)
 	}
 	var all sync.WaitGroup
 	for n := range runs {
-		all.Go(func() { _, together[n] = account(t, parse(t, text(12, 20, 12, 6, faults), uint64(n/2+1)), Module) })
+		all.Go(func() {
+			_, concurrent[n] = runAndReport(t, parseScenario(t, scenarioText(12, 20, 12, 6, mixedFaults), uint64(n/2+1)), NewModule)
+		})
 	}
 	all.Wait()
-	assert.Equal(t, alone, together)
-	assert.Equal(t, alone[0], alone[1])
-	assert.NotEqual(t, alone[1], alone[2])
+	assert.Equal(t, sequential, concurrent)
+	assert.Equal(t, sequential[0], sequential[1])
+	assert.NotEqual(t, sequential[1], sequential[2])
 }
 
 // The rules hold over seeds, with faults together; random choice, which knows nothing, loses none but serves less.
-func TestRulesOverSeeds(t *testing.T) {
+func TestRulesHoldOverSeedsWithFaults(t *testing.T) {
 	for seed := range uint64(10) {
-		book, _ := account(t, parse(t, text(12, 20, 12, 8, faults), seed+1), Module)
+		book, _ := runAndReport(t, parseScenario(t, scenarioText(12, 20, 12, 8, mixedFaults), seed+1), NewModule)
 		for _, b := range book.Check() {
 			t.Errorf("seed %d: %s: %s", seed+1, b.Rule, b.Story)
 		}
-		other, _ := account(t, parse(t, text(12, 20, 12, 8, faults), seed+1), Baselines["random"])
+		other, _ := runAndReport(t, parseScenario(t, scenarioText(12, 20, 12, 8, mixedFaults), seed+1), Baselines["random"])
 		ours, random := book.Service(0, 8000, -1), other.Service(0, 8000, -1)
 		assert.Greater(t, ours.InTime, random.InTime, "seed %d", seed+1)
 		assert.Equal(t, ours.Asked, random.Asked, "the same arrivals")
@@ -140,10 +142,10 @@
 // With places of their own it is 0.97 and more, steady and after a third was killed; who is told no number is still served.
 func TestLightSidecarsSpreadEvenly(t *testing.T) {
 	all := strings.NewReplacer("expected_ms = 200", "expected_ms = 400", "work_ms = 20", "work_ms = 10", "cold_from = 0.2\ncold_s = 5\nfall_multiple = 3\nfall_s = 1\n", "").
-		Replace(text(30, 6, 12, 20, "[[faults]]\nat_s = 11\nfor_s = 1\nwhat = \"kill\"\nwho = [\"s*\"]\nshare = 0.33\n"))
+		Replace(scenarioText(30, 6, 12, 20, "[[faults]]\nat_s = 11\nfor_s = 1\nwhat = \"kill\"\nwho = [\"s*\"]\nshare = 0.33\n"))
 	for seed := range uint64(6) {
-		s := parse(t, all, seed+1)
-		book, err := Run(s, Module)
+		s := parseScenario(t, all, seed+1)
+		book, err := Run(s, NewModule)
 		require.NoError(t, err)
 		for _, from := range []float64{2000, 12000} {
 			v := book.Spread(from, from+8000, 8000, 1)
@@ -163,8 +165,8 @@
 // alike. Shares follow speed (0.14, 0.29, 0.57) as far as a light sidecar's own legs tell.
 func TestSharesFollowSpeed(t *testing.T) {
 	all := strings.NewReplacer("expected_ms = 200", "expected_ms = 400", "work_ms = 20", "work_ms = 40", "cold_from = 0.2\ncold_s = 5\nfall_multiple = 3\nfall_s = 1\n",
-		"cores = 2\nspeeds = [0.5, 1.0, 2.0]\n").Replace(text(60, 4, 18, 40, ""))
-	book, err := Run(parse(t, all, 1), Module)
+		"cores = 2\nspeeds = [0.5, 1.0, 2.0]\n").Replace(scenarioText(60, 4, 18, 40, ""))
+	book, err := Run(parseScenario(t, all, 1), NewModule)
 	require.NoError(t, err)
 	shares, total := [3]float64{}, 0.0
 	for n, c := range book.Counts(10000, 40000) {
@@ -176,11 +178,11 @@
 }
 
 // With room to spare every policy answers all, and two choices of a single sidecar, which sees all legs, hold fewer at once.
-func TestBaselines(t *testing.T) {
+func TestBaselinesServeAllAndTwoChoicesHoldFewerLegs(t *testing.T) {
 	held := map[string]int{}
 	for name, maker := range Baselines {
-		s := parse(t, text(1, 400, 12, 10, ""), 3)
-		book, _ := account(t, s, maker)
+		s := parseScenario(t, scenarioText(1, 400, 12, 10, ""), 3)
+		book, _ := runAndReport(t, s, maker)
 		v := book.Service(0, 10000, -1)
 		assert.Greater(t, float64(v.Satisfied), 0.97*float64(v.Asked), "%s: %+v", name, v)
 		held[name] = book.MostHeld(0, 10000)
@@ -189,16 +191,16 @@
 	assert.GreaterOrEqual(t, held["two choices"], held["least in hand"])
 }
 
-func TestOnlyOnSockets(t *testing.T) {
-	_, err := Run(parse(t, text(2, 1, 2, 5, "[[faults]]\nat_s = 1\nfor_s = 1\nwhat = \"stop\"\nwho = [\"s0\"]\n"), 1), Module)
+func TestFaultsThatNeedSocketsAreRefused(t *testing.T) {
+	_, err := Run(parseScenario(t, scenarioText(2, 1, 2, 5, "[[faults]]\nat_s = 1\nfor_s = 1\nwhat = \"stop\"\nwho = [\"s0\"]\n"), 1), NewModule)
 	assert.ErrorContains(t, err, "faults[0].what: stop")
 }
 
 // How much faster than the clock 100 instances before 100 endpoints at 2,000 exchanges a second are: s/s.
 func BenchmarkVirtual(b *testing.B) {
-	s := parse(b, text(100, 20, 100, 10, ""), 1)
+	s := parseScenario(b, scenarioText(100, 20, 100, 10, ""), 1)
 	for b.Loop() {
-		if _, err := Run(s, Module); err != nil {
+		if _, err := Run(s, NewModule); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -18,14 +18,14 @@
 
 // Hub hosts the instances of one process; they share nothing but the stream.
 type Hub struct {
-	in        *bufio.Reader
-	out       *bufio.Writer
-	parser    fastjson.Parser
-	lists     map[int]*inventory
-	instances map[int]*instance
-	long      []byte
-	line      int
-	now       logic.Millis
+	in          *bufio.Reader
+	out         *bufio.Writer
+	parser      fastjson.Parser
+	inventories map[int]*inventory
+	instances   map[int]*instance
+	longLine    []byte
+	lineNumber  int
+	now         logic.Millis
 }
 
 // inventory keeps its own parser, since its values live on after the next line is read.
@@ -37,7 +37,7 @@
 func NewHub(in io.Reader, out io.Writer) *Hub {
 	return &Hub{
 		in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<20),
-		lists: map[int]*inventory{}, instances: map[int]*instance{},
+		inventories: map[int]*inventory{}, instances: map[int]*instance{},
 	}
 }
 
@@ -48,17 +48,17 @@
 		text, err := h.readLine()
 		if errors.Is(err, io.EOF) && len(text) == 0 {
 			if inBatch {
-				return fmt.Errorf("line %d: input ended inside a batch", h.line+1)
+				return fmt.Errorf("line %d: input ended inside a batch", h.lineNumber+1)
 			}
 			return nil
 		}
-		h.line++
+		h.lineNumber++
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: %w", h.line, err)
+			return fmt.Errorf("line %d: %w", h.lineNumber, err)
 		}
 		v, err := h.parser.ParseBytes(text)
 		if err != nil {
-			return fmt.Errorf("line %d: not JSON: %w", h.line, err)
+			return fmt.Errorf("line %d: not JSON: %w", h.lineNumber, err)
 		}
 		switch msg := v.GetStringBytes("msg"); string(msg) {
 		case "SYNC":
@@ -72,7 +72,7 @@
 				return err
 			}
 		case "INVENTORY":
-			if err := h.inventory(v.GetInt("ref"), text); err != nil {
+			if err := h.storeInventory(v.GetInt("ref"), text); err != nil {
 				return err
 			}
 		default:
@@ -86,23 +86,23 @@
 	if !errors.Is(err, bufio.ErrBufferFull) {
 		return text, err
 	}
-	h.long = append(h.long[:0], text...)
+	h.longLine = append(h.longLine[:0], text...)
 	for errors.Is(err, bufio.ErrBufferFull) {
 		text, err = h.in.ReadSlice('\n')
-		h.long = append(h.long, text...)
+		h.longLine = append(h.longLine, text...)
 	}
-	return h.long, err
+	return h.longLine, err
 }
 
-func (h *Hub) inventory(ref int, text []byte) error {
-	list := h.lists[ref]
+func (h *Hub) storeInventory(ref int, text []byte) error {
+	list := h.inventories[ref]
 	if list == nil {
 		list = &inventory{}
-		h.lists[ref] = list
+		h.inventories[ref] = list
 	}
 	v, err := list.parser.ParseBytes(text)
 	if err != nil {
-		return fmt.Errorf("line %d: not JSON: %w", h.line, err)
+		return fmt.Errorf("line %d: not JSON: %w", h.lineNumber, err)
 	}
 	list.entries = v.GetArray("members-list")
 	return nil
@@ -112,13 +112,13 @@
 func (h *Hub) deliver(msg string, v *fastjson.Value) {
 	number := v.GetInt("sidecar")
 	defer func() {
-		if fault := recover(); fault != nil {
+		if panicValue := recover(); panicValue != nil {
 			delete(h.instances, number)
-			(&instance{number: number, out: h.out}).die(fmt.Sprint(fault))
+			(&instance{number: number, out: h.out}).reportPanic(fmt.Sprint(panicValue))
 		}
 	}()
 	if msg == "HELLO" {
-		h.instances[number] = start(number, v, h.out, h.now)
+		h.instances[number] = newInstance(number, v, h.out, h.now)
 		return
 	}
 	i := h.instances[number]
@@ -130,13 +130,13 @@
 	case "RETIRE":
 		delete(h.instances, number)
 	case "MEMBERS":
-		i.members(string(v.GetStringBytes("scope")), h.lists[v.GetInt("ref")])
+		i.applyList(string(v.GetStringBytes("scope")), h.inventories[v.GetInt("ref")])
 	case "QUERY":
-		i.module.Arrive(logic.ExchangeID(v.GetStringBytes("ref")), i.terms.Product(v.GetStringBytes("service")),
-			i.terms.Tenant(v.GetStringBytes("customer")), terms.Key(v.GetStringBytes("path-key")), terms.Millis(v, "deadline"), v.GetFloat64("cost"), false)
+		i.module.Arrive(logic.ExchangeID(v.GetStringBytes("ref")), i.settingNames.Product(v.GetStringBytes("service")),
+			i.settingNames.Tenant(v.GetStringBytes("customer")), terms.Key(v.GetStringBytes("path-key")), terms.Millis(v, "deadline"), v.GetFloat64("cost"), false)
 	case "REPLY":
 		i.module.LegEnded(logic.ExchangeID(v.GetStringBytes("ref")), logic.LegNo(v.GetInt("try")),
-			outcomes[string(v.GetStringBytes("status"))], terms.Millis(v, "duration"), v.GetBool("closed"))
+			outcomeByStatus[string(v.GetStringBytes("status"))], terms.Millis(v, "duration"), v.GetBool("closed"))
 	case "FIRST_BYTE":
 		i.module.StreamBegan(logic.ExchangeID(v.GetStringBytes("ref")), logic.LegNo(v.GetInt("try")))
 	case "CLIENT_GONE":
@@ -153,32 +153,32 @@
 	}
 }
 
-var outcomes = map[string]logic.Outcome{
+var outcomeByStatus = map[string]logic.Outcome{
 	"GOOD": logic.Succeeded, "BAD": logic.Errored, "FULL": logic.Full, "LATE": logic.TimedOut,
 	"NOCONN": logic.NoConnection, "RST": logic.Reset, "CXL": logic.Cancelled, "NOP": logic.NotSent,
 }
 
-var healths = map[string]logic.Health{"Running": logic.Running, "Deleted": logic.Gone}
+var healthByName = map[string]logic.Health{"Running": logic.Running, "Deleted": logic.Gone}
 
 // instance is one sidecar: its module, its names, and the writer of its actions.
 type instance struct {
-	number int
-	module *logic.Balancer
-	out    *bufio.Writer
-	arena  fastjson.Arena
-	text   []byte
-	terms  *terms.Names
-	names  map[string]logic.EndpointID
+	number       int
+	module       *logic.Balancer
+	out          *bufio.Writer
+	arena        fastjson.Arena
+	lineBuffer   []byte
+	settingNames *terms.Names
+	endpointIDs  map[string]logic.EndpointID
 }
 
-func start(number int, v *fastjson.Value, out *bufio.Writer, now logic.Millis) *instance {
-	t, names := terms.From(v.Get("env"), v.GetUint64("init-seed"))
-	i := &instance{number: number, out: out, terms: names, names: map[string]logic.EndpointID{}}
-	i.module = logic.New(t, i, now)
+func newInstance(number int, v *fastjson.Value, out *bufio.Writer, now logic.Millis) *instance {
+	moduleTerms, names := terms.Parse(v.Get("env"), v.GetUint64("init-seed"))
+	i := &instance{number: number, out: out, settingNames: names, endpointIDs: map[string]logic.EndpointID{}}
+	i.module = logic.New(moduleTerms, i, now)
 	return i
 }
 
-func (i *instance) members(scope string, list *inventory) {
+func (i *instance) applyList(scope string, list *inventory) {
 	if scope == "error" {
 		i.module.ListCallFailed()
 		return
@@ -190,24 +190,24 @@
 		i.module.ListStarts()
 	}
 	for _, e := range list.entries {
-		i.module.Listed(i.name(e.GetStringBytes("endpoint")), healths[string(e.GetStringBytes("health"))],
-			i.terms.Zone(e.GetStringBytes("locality")), i.terms.Kind(e.GetStringBytes("type")), logic.CellID(e.GetInt("bay")), e.GetFloat64("units"),
+		i.module.Listed(i.endpointID(e.GetStringBytes("endpoint")), healthByName[string(e.GetStringBytes("health"))],
+			i.settingNames.Zone(e.GetStringBytes("locality")), i.settingNames.Kind(e.GetStringBytes("type")), logic.CellID(e.GetInt("bay")), e.GetFloat64("units"),
 			terms.Millis(e, "ready-at"))
 	}
 	i.module.ListEnds(scope == "disk")
 }
 
-func (i *instance) name(text []byte) logic.EndpointID {
-	e, known := i.names[string(text)]
+func (i *instance) endpointID(text []byte) logic.EndpointID {
+	e, known := i.endpointIDs[string(text)]
 	if !known {
 		e = logic.EndpointID(text)
-		i.names[string(e)] = e
+		i.endpointIDs[string(e)] = e
 	}
 	return e
 }
 
 // action starts an action's object; write sends it off.
-func (i *instance) action(msg string) *fastjson.Value {
+func (i *instance) newAction(msg string) *fastjson.Value {
 	i.arena.Reset()
 	o := i.arena.NewObject()
 	o.Set("msg", i.arena.NewString(msg))
@@ -216,75 +216,77 @@
 }
 
 func (i *instance) write(o *fastjson.Value) {
-	i.text = append(o.MarshalTo(i.text[:0]), '\n')
-	i.out.Write(i.text) // a broken pipe shows at the flush
+	i.lineBuffer = append(o.MarshalTo(i.lineBuffer[:0]), '\n')
+	i.out.Write(i.lineBuffer) // a broken pipe shows at the flush
 }
 
-func (i *instance) exchange(msg string, x logic.ExchangeID) *fastjson.Value {
-	o := i.action(msg)
+func (i *instance) newExchangeAction(msg string, x logic.ExchangeID) *fastjson.Value {
+	o := i.newAction(msg)
 	o.Set("ref", i.arena.NewString(string(x)))
 	return o
 }
 
-func (i *instance) number64(f logic.Millis) *fastjson.Value {
+func (i *instance) millis(f logic.Millis) *fastjson.Value {
 	return i.arena.NewNumberFloat64(float64(f))
 }
 
 func (i *instance) Send(x logic.ExchangeID, to logic.EndpointID, giveUpAfter logic.Millis) {
-	o := i.exchange("CALL_OUT", x)
-	o.Set("give-up-after", i.number64(giveUpAfter))
+	o := i.newExchangeAction("CALL_OUT", x)
+	o.Set("give-up-after", i.millis(giveUpAfter))
 	o.Set("endpoint", i.arena.NewString(string(to)))
 	i.write(o)
 }
 
 func (i *instance) Cancel(x logic.ExchangeID, leg logic.LegNo) {
-	o := i.exchange("CANCEL", x)
+	o := i.newExchangeAction("CANCEL", x)
 	o.Set("try", i.arena.NewNumberInt(int(leg)))
 	i.write(o)
 }
 
-func (i *instance) Shed(x logic.ExchangeID, _ logic.Reason, comeBackAfter logic.Millis) {
-	o := i.exchange("NOT_NOW", x)
-	if comeBackAfter > 0 {
-		o.Set("not-before-for", i.number64(comeBackAfter))
+func (i *instance) Shed(x logic.ExchangeID, _ logic.Reason, retryAfter logic.Millis) {
+	o := i.newExchangeAction("NOT_NOW", x)
+	if retryAfter > 0 {
+		o.Set("not-before-for", i.millis(retryAfter))
 	}
 	i.write(o)
 }
 
-func (i *instance) Fail(x logic.ExchangeID, _ logic.Reason) { i.write(i.exchange("END_FAILED", x)) }
+func (i *instance) Fail(x logic.ExchangeID, _ logic.Reason) {
+	i.write(i.newExchangeAction("END_FAILED", x))
+}
 
 func (i *instance) SetTimer(after logic.Millis, t logic.TimerID) {
-	o := i.action("WAKE_ME")
-	o.Set("from-now", i.number64(after))
+	o := i.newAction("WAKE_ME")
+	o.Set("from-now", i.millis(after))
 	o.Set("label", i.arena.NewNumberString(strconv.FormatUint(uint64(t), 10)))
 	i.write(o)
 }
 
 func (i *instance) NotifyPeer(to logic.PeerID, text []byte) {
-	o := i.action("WRITE_PEER")
+	o := i.newAction("WRITE_PEER")
 	o.Set("to", i.arena.NewNumberInt(int(to)))
 	o.Set("contents", i.arena.NewString(hex.EncodeToString(text)))
 	i.write(o)
 }
 
 func (i *instance) Probe(e logic.EndpointID) {
-	o := i.action("TOUCH")
+	o := i.newAction("TOUCH")
 	o.Set("endpoint", i.arena.NewString(string(e)))
 	i.write(o)
 }
 
 func (i *instance) Watch() {
-	o := i.action("WATCH")
+	o := i.newAction("WATCH")
 	o.Set("want", i.arena.NewTrue())
 	i.write(o)
 }
 
-func (i *instance) Note(line string) { i.say("EMIT", line) }
+func (i *instance) Note(line string) { i.writeLineAction("EMIT", line) }
 
-func (i *instance) die(fault string) { i.say("DIE", fault) }
+func (i *instance) reportPanic(message string) { i.writeLineAction("DIE", message) }
 
-func (i *instance) say(msg, line string) {
-	o := i.action(msg)
+func (i *instance) writeLineAction(msg, line string) {
+	o := i.newAction(msg)
 	o.Set("line", i.arena.NewString(line))
 	i.write(o)
 }
