--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -132,12 +132,12 @@
 
 // Wrong is a fault of the file.
 type FileError struct {
-	Path, Key, Text string
-	Line            int
+	Path, Key, Message string
+	Line               int
 }
 
-func (w *FileError) Error() string {
-	return fmt.Sprintf("%s:%d: %s: %s", w.Path, w.Line, w.Key, w.Text)
+func (e *FileError) Error() string {
+	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, e.Key, e.Message)
 }
 
 // Read reads a file and checks all of it.
@@ -216,10 +216,10 @@
 }
 
 // check names the first key that can't be, and why.
-func (s *Scenario) validate() (key, why string) {
+func (s *Scenario) validate() (key, message string) {
 	fail := func(at, text string, args ...any) { // the first counts
 		if key == "" {
-			key, why = at, fmt.Sprintf(text, args...)
+			key, message = at, fmt.Sprintf(text, args...)
 		}
 	}
 	within := func(at string, v, least, most float64) {
@@ -303,7 +303,7 @@
 		}
 		s.validateFault(&s.Faults[n], fmt.Sprintf("faults[%d].", n), fail, within)
 	}
-	return key, why
+	return key, message
 }
 
 func (s *Scenario) validateFault(f *Fault, prefix string, fail func(string, string, ...any), within func(string, float64, float64, float64)) {
@@ -529,7 +529,7 @@
 func lineOf(text []byte, key string) int {
 	var p unstable.Parser
 	p.Reset(text)
-	at, counts, best, table := "", map[string]int{}, 1, ""
+	prefix, counts, best, table := "", map[string]int{}, 1, ""
 	for p.NextExpression() {
 		e := p.Expression()
 		name, row := "", 0
@@ -542,13 +542,13 @@
 		}
 		switch e.Kind {
 		case unstable.Table:
-			at, table = name+".", name
+			prefix, table = name+".", name
 		case unstable.ArrayTable:
 			table = fmt.Sprintf("%s[%d]", name, counts[name])
-			at = table + "."
+			prefix = table + "."
 			counts[name]++
 		case unstable.KeyValue:
-			if at+name == key {
+			if prefix+name == key {
 				return row
 			}
 			continue
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -76,20 +76,20 @@
 func TestTargetsAndArrivalsFollowTheSeed(t *testing.T) {
 	s, err := Parse("t.toml", []byte(validScenario))
 	require.NoError(t, err)
-	who, _ := s.FaultTargets(0)
-	assert.Equal(t, []string{"e1", "e3"}, []string{who[0].Name, who[1].Name}, "named twice, done once")
-	who, to := s.FaultTargets(1)
-	assert.Equal(t, []int{2, 1}, []int{len(who), len(to)})
+	targets, _ := s.FaultTargets(0)
+	assert.Equal(t, []string{"e1", "e3"}, []string{targets[0].Name, targets[1].Name}, "named twice, done once")
+	targets, remote := s.FaultTargets(1)
+	assert.Equal(t, []int{2, 1}, []int{len(targets), len(remote)})
 	assert.Equal(t, []float64{2}, s.EmulatorKind(s.EndpointNodes()[1]).Cores)
-	asks := s.Arrivals()
-	assert.Equal(t, asks, s.Arrivals(), "the same seed, the same arrivals")
-	assert.InDelta(t, 1000, len(asks), 200)
+	arrivals := s.Arrivals()
+	assert.Equal(t, arrivals, s.Arrivals(), "the same seed, the same arrivals")
+	assert.InDelta(t, 1000, len(arrivals), 200)
 	count := map[int]int{}
-	for n, a := range asks {
+	for n, a := range arrivals {
 		count[a.Sidecar]++
-		assert.False(t, n > 0 && a.At < asks[n-1].At)
+		assert.False(t, n > 0 && a.At < arrivals[n-1].At)
 	}
 	assert.Greater(t, count[0]+count[1], 3*(count[2]+count[3]+count[4]+count[5])/4, "a tenth sees four times as much")
 	s.Seed = 4
-	assert.NotEqual(t, asks[0], s.Arrivals()[0])
+	assert.NotEqual(t, arrivals[0], s.Arrivals()[0])
 }
--- a/internal/terms/check.go
+++ b/internal/terms/check.go
@@ -37,14 +37,14 @@
 
 // Check finds what no deployment can mean, and names the key. The simulator's settings are not checked: they are its own.
 func Check(settings *fastjson.Value) error {
-	for _, l := range numberLimits {
-		if err := checkNumber("settings", settings.Get(l.path...), l.lowest, l.highest, l.path...); err != nil {
+	for _, limit := range numberLimits {
+		if err := checkNumber("settings", settings.Get(limit.path...), limit.lowest, limit.highest, limit.path...); err != nil {
 			return err
 		}
 	}
-	for key, most := range productMaxima {
+	for key, highest := range productMaxima {
 		for n, p := range settings.GetArray("products") {
-			if err := checkNumber(fmt.Sprintf("settings.products[%d]", n), p.Get(key), 0, most, key); err != nil {
+			if err := checkNumber(fmt.Sprintf("settings.products[%d]", n), p.Get(key), 0, highest, key); err != nil {
 				return err
 			}
 		}
@@ -56,17 +56,17 @@
 			}
 		}
 	}
-	for key, most := range tenantMaxima {
+	for key, highest := range tenantMaxima {
 		for n, t := range settings.GetArray("tenants") {
-			if err := checkNumber(fmt.Sprintf("settings.tenants[%d]", n), t.Get(key), 0, most, key); err != nil {
+			if err := checkNumber(fmt.Sprintf("settings.tenants[%d]", n), t.Get(key), 0, highest, key); err != nil {
 				return err
 			}
 		}
 	}
-	for key, known := range allowedWords {
+	for key, allowed := range allowedWords {
 		if v := settings.Get(key); v != nil && v.Type() != fastjson.TypeNull {
-			if word := string(v.GetStringBytes()); word != known[0] && word != known[1] {
-				return fmt.Errorf("settings.%s: %s is neither %s nor %s", key, v, known[0], known[1])
+			if word := string(v.GetStringBytes()); word != allowed[0] && word != allowed[1] {
+				return fmt.Errorf("settings.%s: %s is neither %s nor %s", key, v, allowed[0], allowed[1])
 			}
 		}
 	}
--- a/internal/virtual/cold_test.go
+++ b/internal/virtual/cold_test.go
@@ -37,9 +37,9 @@
 	r.Decider.Listed(id, h, zone, kind, cell, size, readyAt)
 }
 
-func (r *legRecorder) Send(x logic.ExchangeID, to logic.EndpointID, giveUpAfter logic.Millis) {
+func (r *legRecorder) Send(x logic.ExchangeID, to logic.EndpointID, timeout logic.Millis) {
 	r.log.sentAt[to] = append(r.log.sentAt[to], float64(r.now))
-	r.Outgoing.Send(x, to, giveUpAfter)
+	r.Outgoing.Send(x, to, timeout)
 }
 
 // most is the greatest share of what is allowed, chance included, that a cold endpoint was sent in any window: n legs of mean
@@ -64,7 +64,7 @@
 // sent more than it may be.
 func TestColdEndpointsAreNotOverloadedByTheWholeFleet(t *testing.T) {
 	const endpoints, work = 40, 20.0
-	for _, fleet := range []int{1, 5, 20, 30, 350} {
+	for _, sidecars := range []int{1, 5, 20, 30, 350} {
 		for _, perEndpoint := range []float64{25, 60} { // half busy; more than all can do
 			for _, c := range []struct{ name, faults string }{
 				{"replaced", ""},
@@ -80,7 +80,7 @@
 					fmt.Fprintf(&steps, "[[faults]]\nat_s = %g\nwhat = \"replace\"\nwho = [%s]\n", 2+1.5*float64(step), strings.Join(targets, ", "))
 				}
 				for seed := range uint64(1) {
-					s := parseScenario(t, scenarioText(fleet, perEndpoint*endpoints/float64(fleet), endpoints, 10, steps.String()+c.faults), seed+1)
+					s := parseScenario(t, scenarioText(sidecars, perEndpoint*endpoints/float64(sidecars), endpoints, 10, steps.String()+c.faults), seed+1)
 					sent := &legLog{startedAt: map[logic.EndpointID]float64{}, sentAt: map[logic.EndpointID][]float64{}}
 					_, err := Run(s, func(terms logic.Terms, out logic.Outgoing, now logic.Millis) Decider {
 						recorder := &legRecorder{Outgoing: out, now: now, log: sent}
@@ -91,8 +91,8 @@
 					allowedCold := 3 * 0.2 * 1000 / work
 					maxShare, endpointCount := sent.maxShareOfAllowance(allowedCold, 1/0.2, 5000, 1000)
 					assert.GreaterOrEqual(t, endpointCount, 24)
-					assert.LessOrEqual(t, maxShare, 1.0, "%d sidecars, %g a second an endpoint, %s", fleet, perEndpoint, c.name)
-					t.Logf("%d sidecars, %g a second an endpoint, %s: %.2f", fleet, perEndpoint, c.name, maxShare)
+					assert.LessOrEqual(t, maxShare, 1.0, "%d sidecars, %g a second an endpoint, %s", sidecars, perEndpoint, c.name)
+					t.Logf("%d sidecars, %g a second an endpoint, %s: %.2f", sidecars, perEndpoint, c.name, maxShare)
 				}
 			}
 		}
--- a/internal/virtual/golden_days_test.go
+++ b/internal/virtual/golden_days_test.go
@@ -21,11 +21,11 @@
 	products, faults    string
 	adjustTerms         func(t *logic.Terms) // changes what an instance is told at its start
 
-	keys, hints, streams, bodiesArriveLate, clientsLeave, labelled bool      // what exchanges carry; marked: endpoints have size, kind and cell
-	drainsAtSeconds                                                []float64 // seconds at which an endpoint is taken out by hand, for handsFor
-	loadReportAgeMs                                                float64   // milliseconds for which an endpoint's report of its load stands
-	listCallWorkMs                                                 float64   // milliseconds that discovery works for each call; 0 for no queue
-	watchEndsAtSeconds, discoveryMovesAtSeconds                    []float64 // seconds at which all watches end, or new configurations come
+	keys, hints, streams, bodiesPending, clientsLeave, labelled bool      // what exchanges carry; marked: endpoints have size, kind and cell
+	drainsAtSeconds                                             []float64 // seconds at which an endpoint is taken out by hand, for handsFor
+	loadReportAgeMs                                             float64   // milliseconds for which an endpoint's report of its load stands
+	listCallWorkMs                                              float64   // milliseconds that discovery works for each call; 0 for no queue
+	watchEndsAtSeconds, discoveryMovesAtSeconds                 []float64 // seconds at which all watches end, or new configurations come
 }
 
 const (
@@ -192,14 +192,14 @@
 	{name: "stale-loads", products: slowProducts, sidecars: 30, endpoints: 24, rate: 3, lengthSeconds: 24, zones: `"a"`, group: pausesGroup,
 		faults: slowAndErrors, loadReportAgeMs: 3000, adjustTerms: func(t *logic.Terms) { t.MayProbe, t.ReportsLoad, t.ProbePrice = true, true, 0.004 }},
 	{name: "pushed", sidecars: 10, endpoints: 10, rate: 25, lengthSeconds: 20, zones: `"a", "b"`, group: coldGroup, faults: replaceHalf + slowAndErrors + restartAll,
-		keys: true, streams: true, bodiesArriveLate: true, adjustTerms: func(t *logic.Terms) { t.PullList, t.HasList, t.AnswerBuffers = false, false, 2 }},
+		keys: true, streams: true, bodiesPending: true, adjustTerms: func(t *logic.Terms) { t.PullList, t.HasList, t.AnswerBuffers = false, false, 2 }},
 	{name: "clocks-apart", sidecars: 10, endpoints: 10, rate: 28, lengthSeconds: 20, zones: `"a"`, group: coldGroup, faults: replaceHalf + allSlow, clientsLeave: true,
 		drainsAtSeconds: []float64{3, 11}, adjustTerms: func(t *logic.Terms) {
 			t.DeadlineSkew, t.ReadySkew = 80, 300
 			t.Products[0].OverdueShare = 0
 		}},
 	{name: "all-restart", products: slowProducts, sidecars: 25, endpoints: 12, rate: 10, lengthSeconds: 20, zones: `"a"`, group: coldGroup,
-		faults: replaceHalf + strings.Replace(restartAll, "0.5", "1.0", 1), bodiesArriveLate: true, clientsLeave: true,
+		faults: replaceHalf + strings.Replace(restartAll, "0.5", "1.0", 1), bodiesPending: true, clientsLeave: true,
 		adjustTerms: func(t *logic.Terms) { t.MayHedge = false }},
 	{name: "list-out", products: slowProducts, sidecars: 20, endpoints: 10, rate: 12, lengthSeconds: 24, zones: `"a"`, group: coldGroup,
 		faults: drains + listOutage, listCallWorkMs: 5, drainsAtSeconds: []float64{5}, adjustTerms: func(t *logic.Terms) { t.Notified, t.MaxListWait = notificationBounds, 1200 }},
@@ -375,7 +375,7 @@
 	return float64((z^z>>31)>>11) / (1 << 53)
 }
 
-func (i *goldenInstance) Arrive(id logic.ExchangeID, p logic.ProductID, t logic.TenantID, k logic.KeyID, abandon logic.Millis, cost float64, coming bool) {
+func (i *goldenInstance) Arrive(id logic.ExchangeID, p logic.ProductID, t logic.TenantID, k logic.KeyID, abandon logic.Millis, cost float64, bodyPending bool) {
 	x := i.sidecar.exchanges[id]
 	product := &i.sidecar.sim.scenario.Products[x.Product]
 	if len(i.terms.Tenants) > 0 {
@@ -392,8 +392,8 @@
 	if i.terms.DeadlineSkew > 0 {
 		abandon += i.terms.DeadlineSkew * logic.Millis(2*hashFraction(id, "clock")-1)
 	}
-	if i.goldenCase.bodiesArriveLate && hashFraction(id, "coming") < 0.3 {
-		coming = true
+	if i.goldenCase.bodiesPending && hashFraction(id, "coming") < 0.3 {
+		bodyPending = true
 		wait := 40 * hashFraction(id, "whole")
 		if hashFraction(id, "spent") < 0.5 {
 			i.afterDelay(wait/2, func() { i.BodyDiscarded(id) })
@@ -409,20 +409,20 @@
 			}
 		})
 	}
-	i.Balancer.Arrive(id, p, t, k, abandon, cost, coming)
+	i.Balancer.Arrive(id, p, t, k, abandon, cost, bodyPending)
 }
 
-func (i *goldenInstance) LegEnded(id logic.ExchangeID, n logic.LegNo, o logic.Outcome, took logic.Millis, closed bool) {
+func (i *goldenInstance) LegEnded(id logic.ExchangeID, n logic.LegNo, o logic.Outcome, duration logic.Millis, closed bool) {
 	if o == logic.Succeeded && i.goldenCase.streams && !i.endingStreams[id] && hashFraction(id, "stream") < 0.2 {
 		i.endingStreams[id] = true
 		i.StreamBegan(id, n)
 		i.afterDelay(maxStreamMs*hashFraction(id, "length"), func() {
 			delete(i.endingStreams, id)
-			i.Balancer.LegEnded(id, n, o, took, closed)
+			i.Balancer.LegEnded(id, n, o, duration, closed)
 		})
 		return
 	}
-	i.Balancer.LegEnded(id, n, o, took, closed)
+	i.Balancer.LegEnded(id, n, o, duration, closed)
 }
 
 // ---- calls
@@ -431,9 +431,9 @@
 	i.log.add(i.sidecar.Number, i.restarts, method, arguments...)
 }
 
-func (i *goldenInstance) Send(x logic.ExchangeID, to logic.EndpointID, giveUpAfter logic.Millis) {
-	i.record("send", string(x), string(to), giveUpAfter)
-	i.sidecar.Send(x, to, giveUpAfter)
+func (i *goldenInstance) Send(x logic.ExchangeID, to logic.EndpointID, timeout logic.Millis) {
+	i.record("send", string(x), string(to), timeout)
+	i.sidecar.Send(x, to, timeout)
 }
 
 func (i *goldenInstance) Cancel(x logic.ExchangeID, n logic.LegNo) {
@@ -511,7 +511,7 @@
 		return
 	}
 	i.listCalls++
-	call, called := i.listCalls, sim.now
+	call, calledAt := i.listCalls, sim.now
 	if sim.listOutages > 0 || i.queueFreeAtMs-sim.now > maxListCallWaitMs {
 		i.afterDelay(networkDelayMs, func() { i.ListCallRefused(networkDelayMs, false) })
 		return
@@ -524,10 +524,10 @@
 		switch {
 		case i.watching:
 		case sim.listOutages > 0:
-			i.ListCallRefused(logic.Millis(sim.now-called), false)
+			i.ListCallRefused(logic.Millis(sim.now-calledAt), false)
 		case call <= i.staleListCalls:
 		default:
-			i.answeredCallAtMs, i.sidecar.watching, i.sidecar.knownVersion = called, true, -1
+			i.answeredCallAtMs, i.sidecar.watching, i.sidecar.knownVersion = calledAt, true, -1
 			i.sidecar.updateList()
 		}
 	})
--- a/internal/virtual/golden_test.go
+++ b/internal/virtual/golden_test.go
@@ -49,7 +49,7 @@
 	seconds []hash.Hash32
 	counts  []int
 	line    []byte
-	text    *os.File
+	file    *os.File
 }
 
 func newCallLog(t *testing.T, name string) *callLog {
@@ -58,17 +58,17 @@
 		file, err := os.Create(filepath.Join(*callsDir, name))
 		require.NoError(t, err)
 		t.Cleanup(func() { require.NoError(t, file.Close()) })
-		log.text = file
+		log.file = file
 	}
 	return log
 }
 
 // add books one call of an instance. Numbers are written so that they are told apart to the last bit.
-func (l *callLog) add(sidecar, life int, method string, arguments ...any) {
+func (l *callLog) add(sidecar, restarts int, method string, arguments ...any) {
 	now := l.now()
 	line := strconv.AppendFloat(l.line[:0], now, 'g', -1, 64)
 	line = strconv.AppendInt(append(line, " s"...), int64(sidecar), 10)
-	line = strconv.AppendInt(append(line, '.'), int64(life), 10)
+	line = strconv.AppendInt(append(line, '.'), int64(restarts), 10)
 	line = append(append(line, ' '), method...)
 	for _, argument := range arguments {
 		line = append(line, ' ')
@@ -94,8 +94,8 @@
 	l.counts[second]++
 	_, _ = l.all.Write(l.line)
 	_, _ = l.seconds[second].Write(l.line)
-	if l.text != nil {
-		if _, err := l.text.Write(l.line); err != nil {
+	if l.file != nil {
+		if _, err := l.file.Write(l.line); err != nil {
 			panic(err)
 		}
 	}
@@ -197,7 +197,7 @@
 
 // The record tells times apart to the last bit, and arguments, callers and the order of calls.
 func TestRecordDistinguishesCalls(t *testing.T) {
-	of := func(calls func(l *callLog)) string {
+	recordOf := func(calls func(l *callLog)) string {
 		l := &callLog{all: fnv.New64a(), now: func() float64 { return 0.1 }}
 		calls(l)
 		return l.summary("d 1").String()
@@ -205,12 +205,12 @@
 	send := func(sidecar int, to string, after logic.Millis) func(l *callLog) {
 		return func(l *callLog) { l.add(sidecar, 0, "send", "x", to, after) }
 	}
-	both := func(one, other func(l *callLog)) func(l *callLog) { return func(l *callLog) { one(l); other(l) } }
+	inOrder := func(one, other func(l *callLog)) func(l *callLog) { return func(l *callLog) { one(l); other(l) } }
 	base := send(1, "e1", 10)
-	assert.Equal(t, of(base), of(send(1, "e1", 10)))
-	for _, other := range []func(l *callLog){send(2, "e1", 10), send(1, "e2", 10), send(1, "e1", logic.Millis(math.Nextafter(10, 11))), both(base, base),
+	assert.Equal(t, recordOf(base), recordOf(send(1, "e1", 10)))
+	for _, other := range []func(l *callLog){send(2, "e1", 10), send(1, "e2", 10), send(1, "e1", logic.Millis(math.Nextafter(10, 11))), inOrder(base, base),
 		func(l *callLog) { l.now = func() float64 { return math.Nextafter(0.1, 1) }; base(l) }} {
-		assert.NotEqual(t, of(base), of(other))
+		assert.NotEqual(t, recordOf(base), recordOf(other))
 	}
-	assert.NotEqual(t, of(both(base, send(2, "e1", 10))), of(both(send(2, "e1", 10), base)))
+	assert.NotEqual(t, recordOf(inOrder(base, send(2, "e1", 10))), recordOf(inOrder(send(2, "e1", 10), base)))
 }
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -333,15 +333,15 @@
 func (g *leg) returnOutcome(o logic.Outcome, keepConnection bool) {
 	c := g.exchange.sidecar
 	if o == logic.Succeeded || o == logic.Errored || o == logic.Full {
-		if l := c.answerLossShare(); l > 0 && c.sim.randomFraction() < l {
+		if lossShare := c.answerLossShare(); lossShare > 0 && c.sim.randomFraction() < lossShare {
 			o, keepConnection = logic.Reset, false
 		}
 	}
-	wait := c.oneWayDelay(g.endpoint)
-	if math.IsInf(wait, 1) {
+	delay := c.oneWayDelay(g.endpoint)
+	if math.IsInf(delay, 1) {
 		return // it comes when the link is back: by then its sidecar has given up
 	}
-	c.sim.after(wait, func() {
+	c.sim.after(delay, func() {
 		if keepConnection && !g.ended && !g.endpoint.stopped {
 			c.idleConnections[g.endpoint]++
 		}
@@ -431,7 +431,7 @@
 	c.decider.Arrive(id, logic.ProductID(a.Product), -1, 0, logic.Millis(sim.now+abandon+epochMs), 0, false)
 }
 
-func (c *sidecar) Send(id logic.ExchangeID, to logic.EndpointID, giveUpAfter logic.Millis) {
+func (c *sidecar) Send(id logic.ExchangeID, to logic.EndpointID, timeout logic.Millis) {
 	x, sim := c.exchanges[id], c.sim
 	if x == nil {
 		return
@@ -440,24 +440,24 @@
 	x.legs = append(x.legs, g)
 	g.endpoint = sim.endpointByID[to]
 	timeLeft := x.At + sim.scenario.Products[x.Product].AbandonTime - sim.now
-	if giveUpAfter > 0 {
-		timeLeft = min(timeLeft, float64(giveUpAfter))
+	if timeout > 0 {
+		timeLeft = min(timeLeft, float64(timeout))
 	}
 	sim.after(max(timeLeft, 0), func() { g.abandon(logic.TimedOut) })
 	if g.endpoint == nil || x.answered {
 		sim.after(0, func() { g.reportEnd(logic.NotSent) })
 		return
 	}
-	wait, newConnection := c.oneWayDelay(g.endpoint), c.idleConnections[g.endpoint] == 0
+	delay, newConnection := c.oneWayDelay(g.endpoint), c.idleConnections[g.endpoint] == 0
 	if !newConnection {
 		c.idleConnections[g.endpoint]--
 	} else {
-		wait *= 3 // the connection's own round trip before it
+		delay *= 3 // the connection's own round trip before it
 	}
-	if math.IsInf(wait, 1) {
+	if math.IsInf(delay, 1) {
 		return
 	}
-	sim.after(wait, func() { g.arrive(newConnection) })
+	sim.after(delay, func() { g.arrive(newConnection) })
 }
 
 // arrive is a leg's first byte at its endpoint.
@@ -572,9 +572,9 @@
 
 // trip is how long a message takes to an endpoint or back; infinite where the link is out.
 func (c *sidecar) oneWayDelay(e *endpoint) float64 {
-	wait := networkDelayMs
+	delay := networkDelayMs
 	if e.Zone != c.Zone {
-		wait += crossZoneDelayMs
+		delay += crossZoneDelayMs
 	}
 	for _, n := range c.linkFaults {
 		f := &c.sim.scenario.Faults[n]
@@ -585,10 +585,10 @@
 		case "cut", "silent":
 			return math.Inf(1)
 		case "delay":
-			wait += f.Size
+			delay += f.Size
 		}
 	}
-	return wait
+	return delay
 }
 
 func (c *sidecar) totalLinkDelay() (total float64) {
--- a/internal/virtual/virtual_test.go
+++ b/internal/virtual/virtual_test.go
@@ -180,9 +180,9 @@
 // With room to spare every policy answers all, and two choices of a single sidecar, which sees all legs, hold fewer at once.
 func TestBaselinesServeAllAndTwoChoicesHoldFewerLegs(t *testing.T) {
 	held := map[string]int{}
-	for name, maker := range Baselines {
+	for name, newDecider := range Baselines {
 		s := parseScenario(t, scenarioText(1, 400, 12, 10, ""), 3)
-		book, _ := runAndReport(t, s, maker)
+		book, _ := runAndReport(t, s, newDecider)
 		v := book.Service(0, 10000, -1)
 		assert.Greater(t, float64(v.Satisfied), 0.97*float64(v.Asked), "%s: %+v", name, v)
 		held[name] = book.MostHeld(0, 10000)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -230,9 +230,9 @@
 	return i.arena.NewNumberFloat64(float64(f))
 }
 
-func (i *instance) Send(x logic.ExchangeID, to logic.EndpointID, giveUpAfter logic.Millis) {
+func (i *instance) Send(x logic.ExchangeID, to logic.EndpointID, timeout logic.Millis) {
 	o := i.newExchangeAction("CALL_OUT", x)
-	o.Set("give-up-after", i.millis(giveUpAfter))
+	o.Set("give-up-after", i.millis(timeout))
 	o.Set("endpoint", i.arena.NewString(string(to)))
 	i.write(o)
 }
