--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock reads the machine's monotonic clock, by which processes of one machine order what each of them was told.
+// Package clock reads the machine's monotonic clock. Processes on one machine use it to order the updates that each of
+// them received.
 package clock
 
 import (
@@ -7,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Monotonic is the time since some moment before the process began (clock_gettime(2), CLOCK_MONOTONIC): no step moves it, and all
-// processes of the machine read it alike. It is 0 where the clock can't be read.
+// Monotonic returns the time since an unspecified point before the process started (clock_gettime(2), CLOCK_MONOTONIC).
+// Steps of the wall clock don't affect it, and its values are comparable between all processes of the machine. It
+// returns 0 if the clock can't be read.
 func Monotonic() time.Duration {
 	var now unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &now) != nil {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario reads rehearsals: a fleet, its endpoints, what is asked of them and what goes wrong when, from one TOML
-// file. It is strict: what it does not know, what can't be, and what would never happen is refused with file, line and key.
-// It runs nothing.
+// Package scenario reads scenario files. A scenario is one TOML file that describes a fleet, its endpoints, its load
+// and its faults over time. The parser is strict: it refuses unknown keys, invalid values and faults that would have no
+// effect, with file, line and key. The package does not run scenarios.
 package scenario
 
 import (
@@ -18,12 +18,15 @@
 	"github.com/lynxjunction/lynxjunction/internal/emulator"
 )
 
-// Scenario is one rehearsal. Keys that end in _s are seconds, in _ms milliseconds.
+// Scenario is one run: the fleet, its endpoints, its load and its faults. Keys that end in _s are in seconds, keys that
+// end in _ms in milliseconds; the fields have the units of their keys. Defaults are set by applyDefaults.
 type Scenario struct {
-	Title     string    `toml:"title"`
-	Seed      uint64    `toml:"seed"`
-	Length    float64   `toml:"length_s"` // of arrivals; what is in hand then is waited for
-	Phases    []float64 `toml:"phases_s"` // bounds of the parts that tables tell apart; all in one if left out
+	Title string `toml:"title"`
+	Seed  uint64 `toml:"seed"`
+	// Length is the time during which exchanges arrive. Exchanges that are open at its end are waited for.
+	Length float64 `toml:"length_s"`
+	// Phases are the bounds of the parts that tables list separately. By default there is one part.
+	Phases    []float64 `toml:"phases_s"`
 	Fleet     Fleet     `toml:"fleet"`
 	Endpoints []Group   `toml:"endpoints"`
 	Products  []Product `toml:"products"`
@@ -31,106 +34,164 @@
 	path      string
 }
 
-// Fleet is the sidecars and what their clients ask of them.
+// Fleet describes the sidecars and the load from their clients.
 type Fleet struct {
-	Sidecars       int      `toml:"sidecars"`
-	Rate           float64  `toml:"rate"`        // exchanges a second, mean of all sidecars
-	HeavyShare     float64  `toml:"heavy"`       // share of sidecars that see more
-	HeavyFactor    float64  `toml:"heavy_times"` // times what the others see
-	Zones          []string `toml:"zones"`
-	Cores          float64  `toml:"cores"` // of each sidecar; 1
-	MemoryMB       int      `toml:"memory_mb"`
-	Sockets        int      `toml:"sockets"`
-	MaxLegs        int      `toml:"max_legs"`
-	ExtraFree      float64  `toml:"extra_free"` // budget of legs beyond the first: so many and
-	ExtraRatio     float64  `toml:"extra_ratio"`
-	BudgetWindow   float64  `toml:"look_back_s"` // so many for each exchange taken, within this time; 0 for no budget
-	CrossZonePrice float64  `toml:"cross_zone_price"`
-	AskWithin      float64  `toml:"ask_within_s"`             // a change of the list counts as told after that; 4
-	DrainGrace     float64  `toml:"drain_grace_ms,omitempty"` // after the telling of a drain, in which something new may still begin; 1000
-	HealthyShare   float64  `toml:"sound_share"`              // of requests to be served in time while endpoints, links and cores are sound; 0 for none
+	Sidecars int `toml:"sidecars"`
+	// Rate is the number of exchanges per second and sidecar, averaged over all sidecars.
+	Rate float64 `toml:"rate"`
+	// HeavyShare is the share of sidecars with a higher load than the others.
+	HeavyShare float64 `toml:"heavy"`
+	// HeavyFactor is the load of a heavy sidecar as a multiple of the load of any other.
+	HeavyFactor float64  `toml:"heavy_times"`
+	Zones       []string `toml:"zones"`
+	// Cores, MemoryMB and Sockets are the limits of each sidecar. The default of Cores is 1.
+	Cores    float64 `toml:"cores"`
+	MemoryMB int     `toml:"memory_mb"`
+	Sockets  int     `toml:"sockets"`
+	MaxLegs  int     `toml:"max_legs"`
+	// ExtraFree and ExtraRatio are the budget of legs beyond the first of each exchange: within BudgetWindow, ExtraFree
+	// legs and ExtraRatio legs for each exchange that was accepted.
+	ExtraFree  float64 `toml:"extra_free"`
+	ExtraRatio float64 `toml:"extra_ratio"`
+	// BudgetWindow is the window of the budget; 0 for no budget.
+	BudgetWindow   float64 `toml:"look_back_s"`
+	CrossZonePrice float64 `toml:"cross_zone_price"`
+	// AskWithin is the time after which the sidecars are assumed to be notified of a change of the list; 4 by default.
+	AskWithin float64 `toml:"ask_within_s"`
+	// DrainGrace is the time after the notification of a drain during which new legs may still begin; 1000 by default.
+	DrainGrace float64 `toml:"drain_grace_ms,omitempty"`
+	// HealthyShare is the share of requests that must be served in time while endpoints, links and cores are healthy; 0
+	// for no requirement.
+	HealthyShare float64 `toml:"sound_share"`
 }
 
-// Group is endpoints of one kind.
+// Group is a group of endpoints of the same kind.
 type Group struct {
-	Name             string    `toml:"name"`
-	Count            int       `toml:"count"`
-	Cores            int       `toml:"cores"`  // 1
-	Speeds           []float64 `toml:"speeds"` // of the endpoints in turn; 1
-	Slots            int       `toml:"slots"`  // in work at once; as many as cores
-	QueueSize        int       `toml:"room"`   // waiting; 32
-	ColdFrom         float64   `toml:"cold_from"`
-	ColdPeriod       float64   `toml:"cold_s"`
-	PauseInterval    float64   `toml:"pause_every_s"`
-	PauseLength      float64   `toml:"pause_ms"`
-	ErrorShare       float64   `toml:"errors"`
-	OverloadAt       int       `toml:"crowd_at"`
-	OverloadSlowdown float64   `toml:"crowd_slow"`
-	RecoveryTime     float64   `toml:"rest_s"`
-	FallMultiple     float64   `toml:"fall_multiple"`
-	FallWindow       float64   `toml:"fall_s"`
-	FallSlack        bool      `toml:"fall_slack"` // a fall has the slack of the operators' term
-	DownTime         float64   `toml:"down_s"`
-	MaxConnections   int       `toml:"connections"`
-	HandshakeWork    float64   `toml:"handshake_ms"` // of work, with the first exchange on a connection
+	Name  string `toml:"name"`
+	Count int    `toml:"count"`
+	// Cores is the number of cores of each endpoint; 1 by default.
+	Cores int `toml:"cores"`
+	// Speeds are the speeds of the cores, assigned to the endpoints in turn; 1 by default.
+	Speeds []float64 `toml:"speeds"`
+	// Slots is the number of requests that an endpoint processes at once; the number of cores by default.
+	Slots int `toml:"slots"`
+	// QueueSize is the number of requests that may wait at an endpoint; 32 by default.
+	QueueSize int `toml:"room"`
+	// ColdFrom is the share of its capacity with which an endpoint starts; it reaches full capacity after ColdPeriod.
+	ColdFrom   float64 `toml:"cold_from"`
+	ColdPeriod float64 `toml:"cold_s"`
+	// PauseInterval is the mean time between two pauses of an endpoint, PauseLength the duration of a pause.
+	PauseInterval float64 `toml:"pause_every_s"`
+	PauseLength   float64 `toml:"pause_ms"`
+	// ErrorShare is the share of requests that end with an error.
+	ErrorShare float64 `toml:"errors"`
+	// OverloadAt is the number of requests held at once from which an endpoint is slower by OverloadSlowdown, until it
+	// has been without requests for RecoveryTime; 0 for never.
+	OverloadAt       int     `toml:"crowd_at"`
+	OverloadSlowdown float64 `toml:"crowd_slow"`
+	RecoveryTime     float64 `toml:"rest_s"`
+	// FallMultiple is the limit above which a cold endpoint crashes: the work that it is sent within FallWindow, as a
+	// multiple of the work that it can do in this time; 0 for never.
+	FallMultiple float64 `toml:"fall_multiple"`
+	FallWindow   float64 `toml:"fall_s"`
+	// FallSlack adds to this limit the allowance for random bursts that the operators' rule for cold endpoints has.
+	FallSlack bool `toml:"fall_slack"`
+	// DownTime is the time from such a crash to the restart.
+	DownTime       float64 `toml:"down_s"`
+	MaxConnections int     `toml:"connections"`
+	// HandshakeWork is added to the work of the first exchange on a connection.
+	HandshakeWork float64 `toml:"handshake_ms"`
 }
 
 // Product is a kind of exchange.
 type Product struct {
-	Name         string  `toml:"name"`
-	Effect       string  `toml:"effect"` // replayable, referenced, single-use
+	Name string `toml:"name"`
+	// Effect is replayable, referenced or single-use.
+	Effect       string  `toml:"effect"`
 	Share        float64 `toml:"share"`
 	ExpectedTime float64 `toml:"expected_ms"`
 	AbandonTime  float64 `toml:"abandon_ms"`
-	Work         float64 `toml:"work_ms"`
-	Distribution string  `toml:"dist"` // exponential, fixed
+	// Work is the mean work of an exchange.
+	Work float64 `toml:"work_ms"`
+	// Distribution is the distribution of the work: exponential or fixed.
+	Distribution string `toml:"dist"`
 }
 
-// Fault is one thing that goes wrong, or is done, for a while.
+// Fault is an injected fault or an operation, such as a drain or a restart.
 type Fault struct {
-	At              float64  `toml:"at_s"`
-	Duration        float64  `toml:"for_s"` // 0 for things that are done once
-	Kind            string   `toml:"what"`
-	Targets         []string `toml:"who"`   // e3, e*, s0, s*, zone:a
-	Share           float64  `toml:"share"` // of these, by the seed; 0 for all
-	RemoteEndpoints []string `toml:"to"`    // of a link: the endpoints at its other end; of maint: the endpoint
-	Link            string   `toml:"over"`  // of a link: upstream, list, clients, consoles
-	Direction       string   `toml:"way"`   // there, back; both if left out
-	Size            float64  `toml:"size"`
-	Stagger         float64  `toml:"step_s"` // from one of these to the next
+	At float64 `toml:"at_s"`
+	// Duration is 0 for faults that have no duration, such as a restart.
+	Duration float64 `toml:"for_s"`
+	Kind     string  `toml:"what"`
+	// Targets are names or patterns of endpoints or sidecars: e3, e*, s0, s*, zone:a.
+	Targets []string `toml:"who"`
+	// Share is the share of the targets that is chosen, by the seed; 0 for all.
+	Share float64 `toml:"share"`
+	// RemoteEndpoints are, for a fault of a link, the endpoints at the other end of the link, and for maint the
+	// endpoints that are drained.
+	RemoteEndpoints []string `toml:"to"`
+	// Link is the kind of the link, for a fault of a link: upstream, list, clients or consoles.
+	Link string `toml:"over"`
+	// Direction is the direction that a fault of a link affects: there or back; both if absent.
+	Direction string  `toml:"way"`
+	Size      float64 `toml:"size"`
+	// Stagger is the time between the beginnings of the fault at two successive targets.
+	Stagger float64 `toml:"step_s"`
 }
 
-// needs of each fault: whom it is done to, whether it lasts, and what its size is.
+// faultSpecs are the kinds of faults with their constraints.
 var faultSpecs = map[string]struct {
-	target           byte // e, s, l(ink), d(iscovery), h(and)
-	lasts            bool
-	minSize, maxSize float64 // size; 0, 0 for none
+	// target is what the fault affects: e (endpoints), s (sidecars), l (links of sidecars), d (discovery), h (the
+	// drains that operators request by hand at a sidecar).
+	target byte
+	// lasts is true if the fault needs a duration.
+	lasts bool
+	// minSize and maxSize are the range of the size; both are 0 for a fault that has no size.
+	minSize, maxSize float64
 	sizeUnit         string
 }{
-	"slow": {'e', true, 1.01, 1000, "times slower"}, "hang": {'e', true, 0, 0, ""}, "errors": {'e', true, 0.001, 1, "share that fails"},
-	"crash": {'e', true, 0, 0, ""}, "drain": {'e', false, 0, 0, ""}, "replace": {'e', false, 0, 0, ""},
-	"kill": {'s', true, 0, 0, ""}, "restart": {'s', false, 0, 0, ""}, "stop": {'s', true, 0, 0, ""}, "reload": {'s', false, 0, 0, ""},
-	"upgrade": {'s', false, 0, 0, ""}, "upgrade-fails": {'s', true, 0, 0, ""}, "leave": {'s', true, 1, 60000, "ms that clients wait at most"},
-	"cut": {'l', true, 0, 0, ""}, "silent": {'l', true, 0, 0, ""}, "delay": {'l', true, 0.1, 60000, "ms one way"},
-	"jitter": {'l', true, 0.1, 60000, "ms at most"}, "limit": {'l', true, 1, 1e9, "bytes a second"}, "reset": {'l', false, 0, 0, ""},
-	"lose":     {'l', true, 0.001, 1, "share of answers"},
-	"list-off": {'d', true, 0, 0, ""}, "list-late": {'d', true, 0.01, 600, "s"},
-	"list-busy": {'d', true, 0.05, 600, "s of work that one call of each sidecar makes together"},
-	"list-ends": {'d', true, 0.001, 60, "s at most from a change until a watch ends"},
-	"list-mute": {'d', true, 0.01, 1, "share of watches"}, "list-silent": {'d', true, 0.01, 1, "share of watches"},
-	"crowd": {'s', true, 1, 5000, "connections to each"}, "crowd-heads": {'s', true, 1, 5000, "connections to each"},
-	"crowd-drip": {'s', true, 1, 5000, "connections to each"}, "crowd-kept": {'s', true, 1, 5000, "connections to each"},
-	"list-spoil": {'d', false, 1, 10, "calls of each sidecar that are spoilt"}, "move": {'s', false, 0, 0, ""},
-	"maint": {'h', true, 0, 0, ""},
+	"slow":          {'e', true, 1.01, 1000, "times slower"},
+	"hang":          {'e', true, 0, 0, ""},
+	"errors":        {'e', true, 0.001, 1, "share of requests that fail"},
+	"crash":         {'e', true, 0, 0, ""},
+	"drain":         {'e', false, 0, 0, ""},
+	"replace":       {'e', false, 0, 0, ""},
+	"kill":          {'s', true, 0, 0, ""},
+	"restart":       {'s', false, 0, 0, ""},
+	"stop":          {'s', true, 0, 0, ""},
+	"reload":        {'s', false, 0, 0, ""},
+	"upgrade":       {'s', false, 0, 0, ""},
+	"upgrade-fails": {'s', true, 0, 0, ""},
+	"leave":         {'s', true, 1, 60000, "ms that clients wait at most"},
+	"cut":           {'l', true, 0, 0, ""},
+	"silent":        {'l', true, 0, 0, ""},
+	"delay":         {'l', true, 0.1, 60000, "ms in one direction"},
+	"jitter":        {'l', true, 0.1, 60000, "ms at most"},
+	"limit":         {'l', true, 1, 1e9, "bytes per second"},
+	"reset":         {'l', false, 0, 0, ""},
+	"lose":          {'l', true, 0.001, 1, "share of answers"},
+	"list-off":      {'d', true, 0, 0, ""},
+	"list-late":     {'d', true, 0.01, 600, "s"},
+	"list-busy":     {'d', true, 0.05, 600, "s of work for one call from each sidecar, in total"},
+	"list-ends":     {'d', true, 0.001, 60, "s at most from a change to the end of a watch"},
+	"list-mute":     {'d', true, 0.01, 1, "share of watches"},
+	"list-silent":   {'d', true, 0.01, 1, "share of watches"},
+	"crowd":         {'s', true, 1, 5000, "connections to each sidecar"},
+	"crowd-heads":   {'s', true, 1, 5000, "connections to each sidecar"},
+	"crowd-drip":    {'s', true, 1, 5000, "connections to each sidecar"},
+	"crowd-kept":    {'s', true, 1, 5000, "connections to each sidecar"},
+	"list-spoil":    {'d', false, 1, 10, "calls from each sidecar that fail"},
+	"move":          {'s', false, 0, 0, ""},
+	"maint":         {'h', true, 0, 0, ""},
 }
 
-// Done says when a fault is over.
+// End returns the time at which the fault ends, in seconds from the start. It does not include Stagger.
 func (f *Fault) End() float64 { return f.At + f.Duration }
 
-// OnLink tells whether it is a link's.
+// IsLinkFault reports whether the fault affects links.
 func (f *Fault) IsLinkFault() bool { return faultSpecs[f.Kind].target == 'l' }
 
-// Wrong is a fault of the file.
+// FileError is an error in a scenario file.
 type FileError struct {
 	Path, Key, Message string
 	Line               int
@@ -140,7 +201,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, e.Key, e.Message)
 }
 
-// Read reads a file and checks all of it.
+// Read parses and validates a scenario file.
 func Read(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -149,7 +210,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads a file's text; path is for messages only.
+// Parse parses and validates the text of a scenario file. The path is used in error messages only.
 func Parse(path string, text []byte) (*Scenario, error) {
 	s := &Scenario{path: path}
 	in := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
@@ -178,6 +239,7 @@
 	}
 }
 
+// applyDefaults sets the fields that the file leaves out.
 func (s *Scenario) applyDefaults() {
 	f := &s.Fleet
 	setDefault(&s.Seed, 1)
@@ -215,9 +277,10 @@
 	}
 }
 
-// check names the first key that can't be, and why.
+// validate returns the key of the first error that it finds and what is wrong with it. The key is empty if the scenario
+// is valid.
 func (s *Scenario) validate() (key, message string) {
-	fail := func(at, text string, args ...any) { // the first counts
+	fail := func(at, text string, args ...any) { // only the first error is kept
 		if key == "" {
 			key, message = at, fmt.Sprintf(text, args...)
 		}
@@ -230,7 +293,7 @@
 	within("length_s", s.Length, 0.5, 86400)
 	for n, at := range s.Phases {
 		if within("phases_s", at, 0, s.Length); len(s.Phases) < 2 || n > 0 && at <= s.Phases[n-1] {
-			fail("phases_s", "two or more rising times are needed")
+			fail("phases_s", "at least two times in ascending order are needed")
 		}
 	}
 	f := &s.Fleet
@@ -247,13 +310,13 @@
 	within("fleet.drain_grace_ms", f.DrainGrace, 1, 60000)
 	within("fleet.sound_share", f.HealthyShare, 0, 1)
 	if len(s.Endpoints) == 0 {
-		fail("endpoints", "a group of endpoints is needed")
+		fail("endpoints", "at least one group of endpoints is needed")
 	}
 	names, total := map[string]bool{}, 0
 	for n := range s.Endpoints {
 		g, prefix := &s.Endpoints[n], fmt.Sprintf("endpoints[%d].", n)
 		if g.Name == "" || strings.ContainsAny(g.Name, "*:/ ") || strings.ContainsAny(g.Name[len(g.Name)-1:], "0123456789") || g.Name == "s" || names[g.Name] {
-			fail(prefix+"name", "%q is empty, taken, s, or holds or ends with what a name can't", g.Name)
+			fail(prefix+"name", "%q is not a valid name: it must be unique, not be empty or s, not end with a digit, and not contain *, :, / or a space", g.Name)
 		}
 		names[g.Name] = true
 		total += g.Count
@@ -277,13 +340,13 @@
 	}
 	within("endpoints", float64(total), 1, 10000)
 	if len(s.Products) == 0 {
-		fail("products", "a product is needed")
+		fail("products", "at least one product is needed")
 	}
 	products := map[string]bool{}
 	for n := range s.Products {
 		p, prefix := &s.Products[n], fmt.Sprintf("products[%d].", n)
 		if p.Name == "" || strings.ContainsAny(p.Name, "/ ?") || products[p.Name] {
-			fail(prefix+"name", "%q is empty, taken, or holds what a name can't", p.Name)
+			fail(prefix+"name", "%q is not a valid name: it must be unique, not be empty, and not contain /, ? or a space", p.Name)
 		}
 		products[p.Name] = true
 		if !slices.Contains([]string{"replayable", "referenced", "single-use"}, p.Effect) {
@@ -306,10 +369,11 @@
 	return key, message
 }
 
+// validateFault reports the errors in one fault by fail. The prefix is the fault's part of the key.
 func (s *Scenario) validateFault(f *Fault, prefix string, fail func(string, string, ...any), within func(string, float64, float64, float64)) {
 	spec, ok := faultSpecs[f.Kind]
 	if !ok {
-		fail(prefix+"what", "there is no %q", f.Kind)
+		fail(prefix+"what", "there is no %q fault", f.Kind)
 		return
 	}
 	within(prefix+"at_s", f.At, 0, s.Length)
@@ -319,9 +383,9 @@
 		fail(prefix+"for_s", "it would end at %g s, after the end at %g s", f.End(), s.Length)
 	}
 	if spec.lasts && f.Duration <= 0 {
-		fail(prefix+"for_s", "%s lasts for a time", f.Kind)
+		fail(prefix+"for_s", "%s needs a duration", f.Kind)
 	} else if !spec.lasts && f.Duration != 0 {
-		fail(prefix+"for_s", "%s is done once", f.Kind)
+		fail(prefix+"for_s", "%s is done once and has no duration", f.Kind)
 	}
 	if spec.maxSize > 0 && !(f.Size >= spec.minSize && f.Size <= spec.maxSize) {
 		fail(prefix+"size", "%g is not from %g to %g (%s)", f.Size, spec.minSize, spec.maxSize, spec.sizeUnit)
@@ -332,13 +396,13 @@
 		fail(prefix+"over", "%q is none of upstream, list, clients, consoles", f.Link)
 	}
 	if f.Link != "" && spec.target != 'l' {
-		fail(prefix+"over", "%s is no fault of a link", f.Kind)
+		fail(prefix+"over", "%s is not a fault of a link", f.Kind)
 	}
 	if !slices.Contains([]string{"", "there", "back"}, f.Direction) || f.Direction != "" && spec.target != 'l' {
-		fail(prefix+"way", "%q is neither there nor back, or %s is no fault of a link", f.Direction, f.Kind)
+		fail(prefix+"way", "%q is neither there nor back, or %s is not a fault of a link", f.Direction, f.Kind)
 	}
 	if len(f.RemoteEndpoints) > 0 && f.Link != "upstream" && spec.target != 'h' {
-		fail(prefix+"to", "only links upstream, and maint, have an other end to choose")
+		fail(prefix+"to", "only faults of upstream links and maint have remote endpoints")
 	}
 	targetKind := "sidecars"
 	switch spec.target {
@@ -346,16 +410,16 @@
 		targetKind = "endpoints"
 	case 'd':
 		if len(f.Targets) > 0 {
-			fail(prefix+"who", "there is one list service")
+			fail(prefix+"who", "faults of the list service have no targets")
 		}
 		return
 	case 'l':
 		if f.Kind == "lose" && f.Direction == "there" {
-			fail(prefix+"way", "answers are lost on the way back")
+			fail(prefix+"way", "answers can only be lost in the direction back")
 		}
 	case 'h':
 		if len(f.RemoteEndpoints) == 0 {
-			fail(prefix+"to", "maint needs the endpoints that are taken out")
+			fail(prefix+"to", "maint needs the endpoints to drain")
 		}
 	}
 	for key, list := range map[string][]string{"who": f.Targets, "to": f.RemoteEndpoints} {
@@ -369,19 +433,19 @@
 		}
 	}
 	if len(f.Targets) == 0 {
-		fail(prefix+"who", "nobody is named")
+		fail(prefix+"who", "no target is given")
 	}
 }
 
-// Place is one endpoint or sidecar of a scenario.
+// Node is one endpoint or sidecar of a scenario.
 type Node struct {
 	Name, Zone   string
-	Number       int // among the endpoints, or the sidecars
-	GroupIndex   int // of an endpoint
-	IndexInGroup int // in its group
+	Number       int // index among all endpoints, or among all sidecars
+	GroupIndex   int // index of an endpoint's group
+	IndexInGroup int // index of an endpoint in its group
 }
 
-// Places are all endpoints, in order. Zones take turns.
+// EndpointNodes returns all endpoints in order. They are assigned to the zones in turn.
 func (s *Scenario) EndpointNodes() (all []Node) {
 	for g := range s.Endpoints {
 		for n := range s.Endpoints[g].Count {
@@ -391,7 +455,7 @@
 	return all
 }
 
-// Sidecars are all sidecars, in order.
+// SidecarNodes returns all sidecars in order. They are assigned to the zones in turn.
 func (s *Scenario) SidecarNodes() (all []Node) {
 	for n := range s.Fleet.Sidecars {
 		all = append(all, Node{Name: fmt.Sprint("s", n), Zone: s.Fleet.Zones[n%len(s.Fleet.Zones)], Number: n})
@@ -399,6 +463,7 @@
 	return all
 }
 
+// matching returns the endpoints or sidecars that a pattern selects: a name, a stem followed by * (e*), or zone:NAME.
 func (s *Scenario) matching(pattern string, endpoints bool) (found []Node) {
 	all := s.SidecarNodes()
 	if endpoints {
@@ -414,7 +479,8 @@
 	return found
 }
 
-// Chosen are those that a fault is done to, and those at the other end, by the seed.
+// FaultTargets returns the nodes that fault n affects, and the endpoints at the other end of the affected links or, for
+// maint, the endpoints to drain. The choice of a share of the targets follows from the seed.
 func (s *Scenario) FaultTargets(n int) (targets, remote []Node) {
 	f := &s.Faults[n]
 	onEndpoints := faultSpecs[f.Kind].target == 'e'
@@ -441,7 +507,7 @@
 	return targets, remote
 }
 
-// Kind is an endpoint's, in the model's terms.
+// EmulatorKind returns the parameters of an endpoint for the emulator.
 func (s *Scenario) EmulatorKind(p Node) emulator.Kind {
 	g := &s.Endpoints[p.GroupIndex]
 	k := emulator.Kind{Slots: g.Slots, Room: g.QueueSize, ColdFrom: g.ColdFrom, ColdFor: g.ColdPeriod * 1000, PauseEvery: g.PauseInterval * 1000,
@@ -456,7 +522,7 @@
 	return k
 }
 
-// meanWork is that of all products by their shares, in milliseconds.
+// meanWork returns the mean work of an exchange over all products, weighted by their shares, in milliseconds.
 func (s *Scenario) meanWork() (mean float64) {
 	shares := 0.0
 	for _, p := range s.Products {
@@ -469,16 +535,17 @@
 	return mean
 }
 
-// Ask is one exchange that a client asks for.
+// Arrival is one exchange that a client requests.
 type Arrival struct {
-	At      float64 // ms from the start
+	At      float64 // milliseconds from the start
 	Sidecar int
 	Product int
-	Work    float64 // ms
+	Work    float64 // milliseconds
 	ID      string
 }
 
-// Asks are all exchanges, in order of time, drawn ahead: what becomes of one moves no other.
+// Arrivals returns all exchanges in order of time. They are drawn in advance, so that the outcome of one exchange never
+// changes the others.
 func (s *Scenario) Arrivals() (all []Arrival) {
 	heavyCount := int(s.Fleet.HeavyShare*float64(s.Fleet.Sidecars) + 0.5)
 	lightRate := s.Fleet.Rate * float64(s.Fleet.Sidecars) / (float64(s.Fleet.Sidecars-heavyCount) + float64(heavyCount)*s.Fleet.HeavyFactor)
@@ -518,14 +585,14 @@
 	return all
 }
 
-// SeedOf is a name's own seed.
+// SeedOf returns the seed of a named component, derived from the scenario's seed.
 func (s *Scenario) SeedOf(name string) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, s.Seed, name)
 	return h.Sum64()
 }
 
-// lineOf finds the line of a key such as faults[2].size; that of its table if it is not there.
+// lineOf returns the line of a key such as faults[2].size, or the line of its table if the key is absent.
 func lineOf(text []byte, key string) int {
 	var p unstable.Parser
 	p.Reset(text)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -68,7 +68,7 @@
 		assert.Nil(t, s)
 		assert.ErrorContains(t, err, c.wantError)
 		if err != nil {
-			assert.NotContains(t, err.Error(), "\n", "one line")
+			assert.NotContains(t, err.Error(), "\n", "the error is a single line")
 		}
 	}
 }
@@ -77,19 +77,19 @@
 	s, err := Parse("t.toml", []byte(validScenario))
 	require.NoError(t, err)
 	targets, _ := s.FaultTargets(0)
-	assert.Equal(t, []string{"e1", "e3"}, []string{targets[0].Name, targets[1].Name}, "named twice, done once")
+	assert.Equal(t, []string{"e1", "e3"}, []string{targets[0].Name, targets[1].Name}, "a target that two patterns match is chosen once")
 	targets, remote := s.FaultTargets(1)
 	assert.Equal(t, []int{2, 1}, []int{len(targets), len(remote)})
 	assert.Equal(t, []float64{2}, s.EmulatorKind(s.EndpointNodes()[1]).Cores)
 	arrivals := s.Arrivals()
-	assert.Equal(t, arrivals, s.Arrivals(), "the same seed, the same arrivals")
+	assert.Equal(t, arrivals, s.Arrivals(), "the same seed gives the same arrivals")
 	assert.InDelta(t, 1000, len(arrivals), 200)
 	count := map[int]int{}
 	for n, a := range arrivals {
 		count[a.Sidecar]++
 		assert.False(t, n > 0 && a.At < arrivals[n-1].At)
 	}
-	assert.Greater(t, count[0]+count[1], 3*(count[2]+count[3]+count[4]+count[5])/4, "a tenth sees four times as much")
+	assert.Greater(t, count[0]+count[1], 3*(count[2]+count[3]+count[4]+count[5])/4, "a tenth of the sidecars has four times the load")
 	s.Seed = 4
 	assert.NotEqual(t, arrivals[0], s.Arrivals()[0])
 }
--- a/internal/scenario/startfile.go
+++ b/internal/scenario/startfile.go
@@ -1,4 +1,5 @@
-// Start file: what the program is told at its start. This file owns the form that internal/sidecar reads.
+// The start file of a sidecar, in the format that internal/sidecar reads.
+
 package scenario
 
 import (
@@ -6,14 +7,17 @@
 	"time"
 )
 
-// IdleClose is after how long endpoints close connections that are idle.
+// EndpointIdleTimeout is the time after which endpoints close idle connections.
 const EndpointIdleTimeout = 15 * time.Second
 
-type object = map[string]any // of JSON
+// object is a JSON object.
+type object = map[string]any
 
+// settingsEffects maps the effects of scenario files to those of the settings.
 var settingsEffects = map[string]string{"replayable": "retryable", "referenced": "dedup", "single-use": "fragile"}
 
-// Settings are a sidecar's: its number and its zone are its own.
+// Settings returns the settings of a sidecar. Apart from the sidecar's number and zone they are the same for all
+// sidecars.
 func Settings(s *Scenario, number int, zone string) object {
 	f, products := &s.Fleet, []object{}
 	for _, p := range s.Products {
@@ -42,7 +46,7 @@
 		"guarantees": guarantees, "products": products}
 }
 
-// StartFile is one sidecar's.
+// StartFile returns the content of the start file of one sidecar.
 func StartFile(s *Scenario, number int, zone, listen, discovery string, known any) object {
 	return object{"name": fmt.Sprint("s", number), "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%x", s.SeedOf(fmt.Sprint("s", number))),
 		"limits": object{"cores": s.Fleet.Cores, "memory_mb": s.Fleet.MemoryMB, "sockets": s.Fleet.Sockets},
--- a/internal/terms/check_test.go
+++ b/internal/terms/check_test.go
@@ -9,7 +9,8 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// A figure that no deployment can have was taken as it stood: a negative time or a share over 1 bent every decision.
+// Guards against settings that are out of range: a negative time or a share over 1 was accepted as it was and distorted
+// every decision. The error names the key.
 func TestCheckNamesTheKey(t *testing.T) {
 	for _, c := range []struct{ text, wantKey string }{
 		{`{}`, ""},
@@ -56,13 +57,13 @@
 	}
 }
 
-// What a deployment of old does not say must leave it as it was.
+// Settings that older deployments don't have must keep the behaviour of those deployments.
 func TestDefaultsOfAbsentSettings(t *testing.T) {
 	v := fastjson.MustParse(`{"products":[{"name":"a"}]}`)
 	got, _ := Parse(v, 1)
 	assert.True(t, got.PullList)
 	assert.False(t, got.Peers || got.ByWork)
-	assert.Negative(t, got.SidecarNumber, "not told")
+	assert.Negative(t, got.SidecarNumber, "no number in the settings")
 	assert.False(t, PeersAllowed(v) || ListIsPushed(v))
 	assert.Equal(t, 1, StreamsPerConnection(v))
 	got, _ = Parse(fastjson.MustParse(`{"me":4,"fleet-size":9,"registry-mode":"pushed","value-by":"work","allowed":{"peers":true}}`), 1)
@@ -70,7 +71,8 @@
 	assert.True(t, got.Peers && got.ByWork && !got.PullList)
 }
 
-// What the further deployments state must reach the module, and what a report lacks must not count as an idle endpoint.
+// Optional settings must reach the module's terms, and a value that a load report lacks must not make the endpoint look
+// idle.
 func TestOptionalSettingsReachTheTerms(t *testing.T) {
 	got, _ := Parse(fastjson.MustParse(`{"allowed":{"answer-buffers":5,"probes":true,"idle-close":15000},"domain":{"warm-keys":true},
 		"guarantees":{"extra-free":3,"extra-ratio":0.1,"look-back":5000,"budget-error":820,"ready-margin":90},
@@ -85,7 +87,8 @@
 	assert.NotEqual(t, Key([]byte("a")), Key([]byte("b")))
 }
 
-// Where a product may go reaches the module by the ids that lists are told with; absent is anywhere, and no list of none.
+// The placement lists of a product must be parsed to the IDs that lists of endpoints use. An absent list allows every
+// zone or machine type, unlike an empty one.
 func TestPlacementListsAreParsedToIDs(t *testing.T) {
 	got, names := Parse(fastjson.MustParse(`{"locality":"home","products":[{"runs-in":["b","home"]},{"allowed-on":["k","l"]},{},{"runs-in":[]}]}`), 1)
 	assert.Equal(t, []logic.ZoneID{names.Zone([]byte("b")), names.Zone([]byte("home"))}, got.Products[0].RunsIn)
@@ -94,5 +97,5 @@
 	assert.NotEqual(t, names.Kind([]byte("k")), names.Kind([]byte("m")))
 	assert.Nil(t, got.Products[0].AllowedOn)
 	assert.True(t, got.Products[2].RunsIn == nil && got.Products[2].AllowedOn == nil)
-	assert.True(t, got.Products[3].RunsIn != nil && len(got.Products[3].RunsIn) == 0, "an empty list, which the sidecar refuses, opens nothing")
+	assert.True(t, got.Products[3].RunsIn != nil && len(got.Products[3].RunsIn) == 0, "an empty list, which the sidecar refuses, allows nothing")
 }
--- a/internal/virtual/baselines.go
+++ b/internal/virtual/baselines.go
@@ -6,7 +6,9 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// Baselines choose an endpoint and nothing else: one leg, no copy, no retry, no dismissal. They are here to be compared with.
+// Baselines are the policies that the decision module is compared with, by name. Apart from the module itself, with and
+// without hedges, they only choose an endpoint: an exchange has one leg, with no hedge and no retry, and is shed only
+// if there is no endpoint.
 var Baselines = map[string]DeciderFactory{
 	"random":        singleLeg(func(b *baseline) int { return b.randomInt(len(b.endpoints)) }),
 	"round robin":   singleLeg(func(b *baseline) int { b.next++; return b.next % len(b.endpoints) }),
@@ -19,6 +21,7 @@
 	},
 }
 
+// baseline is a Decider that sends each exchange once, to the endpoint that pick chooses.
 type baseline struct {
 	logic.Outgoing
 	pick               func(*baseline) int
@@ -29,6 +32,7 @@
 	next               int
 }
 
+// singleLeg returns the factory of baselines with the given choice of an endpoint.
 func singleLeg(pick func(*baseline) int) DeciderFactory {
 	return func(t logic.Terms, out logic.Outgoing, _ logic.Millis) Decider {
 		b := &baseline{Outgoing: out, pick: pick, legsInFlight: map[logic.EndpointID]int{}, endpointByExchange: map[logic.ExchangeID]logic.EndpointID{}, rngState: t.Seed | 1}
@@ -38,6 +42,7 @@
 	}
 }
 
+// randomInt returns a pseudo-random number from 0 to n-1.
 func (b *baseline) randomInt(n int) int {
 	b.rngState ^= b.rngState << 13
 	b.rngState ^= b.rngState >> 7
@@ -45,7 +50,8 @@
 	return int(b.rngState % uint64(n))
 }
 
-// least draws so many and takes the one with the fewest of our legs; where it draws all, ties fall by chance.
+// leastLoaded samples so many endpoints at random and returns the index of the one with the fewest legs of this sidecar
+// in flight. Ties are broken at random, which matters if the sample is all endpoints.
 func (b *baseline) leastLoaded(sampleSize int) int {
 	best, fewest, ties := 0, math.MaxInt, 0
 	for k := range sampleSize {
--- a/internal/virtual/cold_test.go
+++ b/internal/virtual/cold_test.go
@@ -12,13 +12,14 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// sentTo are the legs that the instances of a fleet sent to endpoints that had started, with when that was.
+// legLog records the times at which the sidecars of a fleet sent legs to each endpoint, and the times at which
+// endpoints started.
 type legLog struct {
 	startedAt map[logic.EndpointID]float64
 	sentAt    map[logic.EndpointID][]float64
 }
 
-// watched is an instance whose legs are noted.
+// legRecorder passes on all events and calls of an instance and records its legs.
 type legRecorder struct {
 	Decider
 	logic.Outgoing
@@ -42,12 +43,14 @@
 	r.Outgoing.Send(x, to, timeout)
 }
 
-// most is the greatest share of what is allowed, chance included, that a cold endpoint was sent in any window: n legs of mean
-// work are allowed when it starts, times warm once it is warm, 2 root n + 2 more are put down to chance.
+// maxShareOfAllowance returns the number of legs that a cold endpoint was sent in any window, as a share of the number
+// that is allowed, at its maximum over all endpoints that started, and the number of these endpoints. The allowance is
+// allowedCold legs of mean work at the start of the endpoint and rises linearly to warmFactor times as many over the
+// cold period. To an allowance of n, 2·√n + 2 legs are added for random variation.
 func (s *legLog) maxShareOfAllowance(allowedCold, warmFactor, coldPeriodMs, windowMs float64) (maxShare float64, endpointCount int) {
 	for id, started := range s.startedAt {
 		endpointCount++
-		at := s.sentAt[id][sort.SearchFloat64s(s.sentAt[id], started):] // what went to it before went to another process
+		at := s.sentAt[id][sort.SearchFloat64s(s.sentAt[id], started):] // legs sent before the start went to an earlier process
 		for from, to := 0, 0; to < len(at) && at[to] < started+coldPeriodMs; to++ {
 			for at[from] <= at[to]-windowMs {
 				from++
@@ -59,23 +62,24 @@
 	return maxShare, endpointCount
 }
 
-// A cold endpoint falls under the sum of what all processes send. However many there are, heavy or light, half of the
-// endpoints replaced in a few steps, all processes restarted amid it, and others lost, so that the rest is crowded: none is
-// sent more than it may be.
+// Guards against the overload of cold endpoints: a cold endpoint crashes under the sum of the load from all sidecars.
+// More than half of the endpoints are replaced in four steps, for fleets of different sizes and at low and high load.
+// In some cases all sidecars restart meanwhile, or a quarter of the endpoints crash, which puts more load on the
+// others. No cold endpoint may be sent more than its allowance.
 func TestColdEndpointsAreNotOverloadedByTheWholeFleet(t *testing.T) {
 	const endpoints, work = 40, 20.0
 	for _, sidecars := range []int{1, 5, 20, 30, 350} {
-		for _, perEndpoint := range []float64{25, 60} { // half busy; more than all can do
+		for _, perEndpoint := range []float64{25, 60} { // half of the capacity; more than the capacity
 			for _, c := range []struct{ name, faults string }{
-				{"replaced", ""},
-				{"and all restarted", "[[faults]]\nat_s = 4\nwhat = \"restart\"\nwho = [\"s*\"]\nshare = 1.0\n"},
-				{"and a quarter lost", "[[faults]]\nat_s = 4\nfor_s = 5\nwhat = \"crash\"\nwho = [\"e30\", \"e31\", \"e32\", \"e33\", \"e34\", \"e35\", \"e36\", \"e37\", \"e38\", \"e39\"]\n"},
+				{"endpoints replaced", ""},
+				{"endpoints replaced, all sidecars restarted", "[[faults]]\nat_s = 4\nwhat = \"restart\"\nwho = [\"s*\"]\nshare = 1.0\n"},
+				{"endpoints replaced, a quarter crashed", "[[faults]]\nat_s = 4\nfor_s = 5\nwhat = \"crash\"\nwho = [\"e30\", \"e31\", \"e32\", \"e33\", \"e34\", \"e35\", \"e36\", \"e37\", \"e38\", \"e39\"]\n"},
 			} {
 				steps := strings.Builder{}
 				for step := range 4 {
 					targets := []string{}
-					for allowedCold := range 6 {
-						targets = append(targets, fmt.Sprintf("%q", fmt.Sprint("e", step*6+allowedCold)))
+					for n := range 6 {
+						targets = append(targets, fmt.Sprintf("%q", fmt.Sprint("e", step*6+n)))
 					}
 					fmt.Fprintf(&steps, "[[faults]]\nat_s = %g\nwhat = \"replace\"\nwho = [%s]\n", 2+1.5*float64(step), strings.Join(targets, ", "))
 				}
@@ -91,8 +95,8 @@
 					allowedCold := 3 * 0.2 * 1000 / work
 					maxShare, endpointCount := sent.maxShareOfAllowance(allowedCold, 1/0.2, 5000, 1000)
 					assert.GreaterOrEqual(t, endpointCount, 24)
-					assert.LessOrEqual(t, maxShare, 1.0, "%d sidecars, %g a second an endpoint, %s", sidecars, perEndpoint, c.name)
-					t.Logf("%d sidecars, %g a second an endpoint, %s: %.2f", sidecars, perEndpoint, c.name, maxShare)
+					assert.LessOrEqual(t, maxShare, 1.0, "%d sidecars, %g exchanges per second and endpoint, %s", sidecars, perEndpoint, c.name)
+					t.Logf("%d sidecars, %g exchanges per second and endpoint, %s: %.2f", sidecars, perEndpoint, c.name, maxShare)
 				}
 			}
 		}
--- a/internal/virtual/faults.go
+++ b/internal/virtual/faults.go
@@ -9,13 +9,13 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// plan sets a fault's begin and end.
+// scheduleFault schedules the beginning and the end of fault n. It returns an error for faults that can't be simulated.
 func (sim *simulation) scheduleFault(n int) error {
 	f := &sim.scenario.Faults[n]
 	targets, _ := sim.scenario.FaultTargets(n)
 	if f.IsLinkFault() && (f.Link != "upstream" || !slices.Contains([]string{"cut", "silent", "delay", "lose"}, f.Kind)) ||
 		slices.Contains([]string{"stop", "reload", "upgrade", "maint", "list-ends", "list-mute", "list-silent"}, f.Kind) {
-		return fmt.Errorf("faults[%d].what: %s %s is only there on sockets, not in virtual time", n, f.Kind, f.Link)
+		return fmt.Errorf("faults[%d].what: %s %s needs real processes and sockets; it can't be simulated in virtual time", n, f.Kind, f.Link)
 	}
 	if f.Kind == "list-off" || f.Kind == "list-late" {
 		targets = make([]scenario.Node, 1)
@@ -30,6 +30,7 @@
 	return nil
 }
 
+// beginFault begins fault n at one of its targets.
 func (sim *simulation) beginFault(n int, f *scenario.Fault, p scenario.Node) {
 	e := sim.currentByName[p.Name]
 	switch f.Kind {
@@ -102,6 +103,7 @@
 	}
 }
 
+// endFault ends fault n at one of its targets.
 func (sim *simulation) endFault(n int, f *scenario.Fault, p scenario.Node) {
 	e := sim.currentByName[p.Name]
 	switch f.Kind {
--- a/internal/virtual/golden_days_test.go
+++ b/internal/virtual/golden_days_test.go
@@ -10,22 +10,29 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// day is a deployment of the golden record: the fleet and its faults, and what a rehearsal's file has no word for.
+// goldenCase is one deployment of the golden record: a fleet with its faults, and conditions that a scenario file can't
+// express.
 type goldenCase struct {
 	name                string
 	sidecars, endpoints int
-	rate                float64 // exchanges a second and sidecar
-	lengthSeconds       int     // seconds
+	rate                float64 // exchanges per second and sidecar
+	lengthSeconds       int
 	zones               string
-	fleet, group        string // further keys of the fleet and of the endpoints
+	fleet, group        string // further keys of the fleet and of the group of endpoints, as in a scenario file
 	products, faults    string
-	adjustTerms         func(t *logic.Terms) // changes what an instance is told at its start
-
-	keys, hints, streams, bodiesPending, clientsLeave, labelled bool      // what exchanges carry; marked: endpoints have size, kind and cell
-	drainsAtSeconds                                             []float64 // seconds at which an endpoint is taken out by hand, for handsFor
-	loadReportAgeMs                                             float64   // milliseconds for which an endpoint's report of its load stands
-	listCallWorkMs                                              float64   // milliseconds that discovery works for each call; 0 for no queue
-	watchEndsAtSeconds, discoveryMovesAtSeconds                 []float64 // seconds at which all watches end, or new configurations come
+	adjustTerms         func(t *logic.Terms) // changes the terms of an instance before it starts; may be nil
+
+	keys          bool // exchanges have keys
+	hints         bool // exchanges have hints of their work
+	streams       bool // some answers are streamed
+	bodiesPending bool // some exchanges arrive before their bodies are complete
+	clientsLeave  bool // some clients leave before they are answered
+	labelled      bool // endpoints have sizes, machine types and cells
+
+	drainsAtSeconds                             []float64 // times at which operators drain an endpoint, for operatorDrainMs
+	loadReportAgeMs                             float64   // for how long an endpoint repeats the same load report
+	listCallWorkMs                              float64   // time that discovery works on each call for the list; 0 for no queue
+	watchEndsAtSeconds, discoveryMovesAtSeconds []float64 // times at which all watches end, or new configurations arrive
 }
 
 const (
@@ -213,7 +220,7 @@
 		}},
 }
 
-// text is the day as a rehearsal's file.
+// scenarioFile returns the case as the text of a scenario file.
 func (c *goldenCase) scenarioFile() string {
 	products := c.products
 	if products == "" {
@@ -224,54 +231,56 @@
 }
 
 const (
-	operatorDrainMs             = 2000.0 // milliseconds that an endpoint stays out by hand
-	maxStreamMs                 = 120.0  // milliseconds, at most, from a streamed answer's start to its end
-	lostMessageShare            = 0.02   // share of what sidecars write to one another that is lost
-	unansweredProbeShare        = 0.05   // share of questions for a load that are not answered
-	probeTimeoutMs              = 80.0   // milliseconds after which a question counts as not answered
-	lostOrTruncatedMessageShare = 0.03   // lostTold, and the share that comes torn
-	unansweredListCallShare     = 0.1    // share of calls for the list that are never answered
-	maxListCallWaitMs           = 3000.0 // milliseconds that a call may wait at discovery, or it is refused
-	blockedKeyWorkFactor        = 4.0    // times a product's work, from which on an exchange is about one of stuckKeys
+	operatorDrainMs             = 2000.0 // for how long operators drain an endpoint
+	maxStreamMs                 = 120.0  // from the start of a streamed answer to its end
+	lostMessageShare            = 0.02   // messages between sidecars that are lost
+	unansweredProbeShare        = 0.05   // probes that are not answered
+	probeTimeoutMs              = 80.0   // time after which a probe counts as not answered
+	lostOrTruncatedMessageShare = 0.03   // lostMessageShare and the share of messages that arrive truncated
+	unansweredListCallShare     = 0.1    // calls for the list that are never answered
+	maxListCallWaitMs           = 3000.0 // discovery refuses calls that would wait longer
+	blockedKeyWorkFactor        = 4.0    // an exchange with more than this multiple of its product's work has a blocked key
 	blockedKeyCount             = 2
 	ordinaryKeyCount            = 300.0
-	keySkewExponent             = 3.0 // power by which few of the usual keys are asked for often
-	maxClientWaitShare          = 0.6 // of the abandon time, within which an impatient client leaves
+	keySkewExponent             = 3.0 // skews the choice of ordinary keys, so that a few of them get much of the traffic
+	maxClientWaitShare          = 0.6 // share of the abandon time within which a client that leaves does so
 )
 
-// tenantUpTo are the sums of what tenants send of all; the rest belongs to none.
+// cumulativeTenantShares are the cumulative shares of all exchanges that the tenants send. The rest belongs to no
+// tenant.
 var cumulativeTenantShares = [3]float64{0.6, 0.8, 0.95}
 
-// goldenFleet starts a day's instances, and is the discovery that they share.
+// goldenFleet creates the instances of a case and simulates the discovery that they share.
 type goldenFleet struct {
 	goldenCase    *goldenCase
 	log           *callLog
-	queueFreeAtMs float64 // when the queue of discovery is done
+	queueFreeAtMs float64 // when discovery has worked through its queue
 	reports       map[*endpoint]loadReport
 }
 
+// loadReport is a load report of an endpoint and when it was made.
 type loadReport struct {
 	at   float64
 	load logic.Load
 }
 
-// instance is one life of a sidecar. It hands on all events and calls, books the calls, and adds what the day has beyond
-// the rehearsal.
+// goldenInstance is a sidecar's instance of the module between two restarts. It passes on all events and calls, records
+// the calls, and adds the conditions of the case that the scenario file can't express.
 type goldenInstance struct {
 	*logic.Balancer
 	*goldenFleet
 	sidecar          *sidecar
 	restarts         int
 	terms            logic.Terms
-	hasList          bool // a list has been told that is not left out
+	hasList          bool // the module has been given a list; the stored list may be withheld from it
 	watching         bool
-	listCalls        int                       // for the list
-	staleListCalls   int                       // so many of them were made before the last new configuration
-	answeredCallAtMs float64                   // when the call was made that is answered now
-	endingStreams    map[logic.ExchangeID]bool // streams whose end is on its way
+	listCalls        int                       // calls for the list so far
+	staleListCalls   int                       // calls made before the last new configuration; their answers are ignored
+	answeredCallAtMs float64                   // when the call was made that is being answered
+	endingStreams    map[logic.ExchangeID]bool // streamed answers that have begun and not ended
 }
 
-// start is the Maker of a day.
+// newDecider is the DeciderFactory of the case.
 func (f *goldenFleet) newDecider(t logic.Terms, out logic.Outgoing, now logic.Millis) Decider {
 	c := out.(*sidecar)
 	f.log.now = func() float64 { return c.sim.now }
@@ -288,7 +297,7 @@
 	return i
 }
 
-// later does something unless this life of the sidecar is over by then.
+// afterDelay schedules a function to run after a delay, unless the sidecar has been killed or restarted by then.
 func (i *goldenInstance) afterDelay(wait float64, do func()) {
 	i.sidecar.sim.after(wait, func() {
 		if i.sidecar.restarts == i.restarts && !i.sidecar.down {
@@ -298,7 +307,7 @@
 	})
 }
 
-// plan sets what happens to all instances at the times that the day names.
+// scheduleEvents schedules the events that happen to all instances at the times that the case gives.
 func (i *goldenInstance) scheduleEvents() {
 	at := func(seconds float64, do func()) {
 		if wait := seconds*1000 - i.sidecar.sim.now; wait >= 0 {
@@ -327,7 +336,7 @@
 	}
 }
 
-// ---- events
+// Events.
 
 func (i *goldenInstance) Listed(id logic.EndpointID, h logic.Health, zone logic.ZoneID, kind logic.KindID, cell logic.CellID, size float64, readyAt logic.Millis) {
 	if i.goldenCase.labelled {
@@ -365,7 +374,8 @@
 	i.Balancer.ListCallFailed()
 }
 
-// chanceOf is a number from 0 to 1 that follows from an exchange and a purpose.
+// hashFraction returns a pseudo-random number from 0 to 1 that depends only on the exchange and the purpose. Changing a
+// purpose changes the golden record.
 func hashFraction(id logic.ExchangeID, purpose string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(purpose + string(id)))
@@ -425,7 +435,7 @@
 	i.Balancer.LegEnded(id, n, o, duration, closed)
 }
 
-// ---- calls
+// Outgoing calls. The method names are hashed: changing one changes the golden record.
 
 func (i *goldenInstance) record(method string, arguments ...any) {
 	i.log.add(i.sidecar.Number, i.restarts, method, arguments...)
@@ -458,7 +468,7 @@
 
 func (i *goldenInstance) Note(line string) { i.record("note", line) }
 
-// Tell brings a message to another sidecar.
+// NotifyPeer delivers a message to another sidecar. It may be lost or arrive truncated.
 func (i *goldenInstance) NotifyPeer(to logic.PeerID, text []byte) {
 	i.record("tell", int(to), text)
 	sim := i.sidecar.sim
@@ -477,7 +487,7 @@
 	})
 }
 
-// Probe has an endpoint tell its load; its report may be old.
+// Probe requests an endpoint's load report, which may be up to loadReportAgeMs old.
 func (i *goldenInstance) Probe(id logic.EndpointID) {
 	i.record("probe", string(id))
 	sim := i.sidecar.sim
@@ -502,7 +512,8 @@
 	})
 }
 
-// Watch calls discovery, which works through its calls in turn and refuses what would wait too long.
+// Watch calls discovery, which processes calls one at a time, and refuses a call that would wait longer than
+// maxListCallWaitMs.
 func (i *goldenInstance) Watch() {
 	i.record("watch")
 	sim := i.sidecar.sim
--- a/internal/virtual/golden_test.go
+++ b/internal/virtual/golden_test.go
@@ -19,29 +19,32 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// The golden record: a hash of every call that goes out of the module, with its time, for each of the days in
-// golden_days_test.go. A change that is meant to leave all decisions as they are leaves the record as it is. A change of a
-// decision, of the days, of the endpoints' model or of this package's virtual time writes it anew, in a commit that says so:
+// The golden record holds a hash of all outgoing calls of the module, with their times, for each of the cases in
+// golden_days_test.go. A change that is not meant to affect decisions must not change the record. A change of a
+// decision, of the cases, of the emulator or of this package's virtual time needs a new record, in a commit that says
+// so:
 //
-//	go test ./internal/virtual -run TestDecisionsAreThoseOfTheRecord -update
+//	go test ./internal/virtual -run TestDecisionsMatchTheGoldenRecord -update
 //
-// With -calls DIR the calls themselves are written too, a file for each day, so that those of two versions can be compared.
+// With -calls DIR the calls themselves are written too, one file for each case, so that the calls of two versions can
+// be compared.
 const (
 	goldenFile = "testdata/golden.txt"
-	// goldenArch is the architecture of the record. Others may round products and sums together.
+	// goldenArch is the architecture of the record. On other architectures the compiler may fuse multiplications and
+	// additions, which are then rounded once instead of twice.
 	goldenArch = "amd64"
 	goldenHead = "# day, seed, calls, hash of all calls, hash of the calls of each second; golden_test.go tells how to write it anew\n"
 
 	seedsPerCase   = 2
-	hashIntervalMs = 1000.0 // milliseconds of virtual time that share a hash
+	hashIntervalMs = 1000.0 // virtual time that one of the partial hashes covers
 )
 
 var (
-	update   = flag.Bool("update", false, "write the golden record anew; refused where CI=true")
-	callsDir = flag.String("calls", "", "directory to which the calls of the golden days are written")
+	update   = flag.Bool("update", false, "write a new golden record; refused if CI=true")
+	callsDir = flag.String("calls", "", "directory to which the calls of the golden cases are written")
 )
 
-// callLog hashes the calls of a day's instances.
+// callLog hashes the calls of all instances of a case.
 type callLog struct {
 	now     func() float64
 	count   int
@@ -63,7 +66,8 @@
 	return log
 }
 
-// add books one call of an instance. Numbers are written so that they are told apart to the last bit.
+// add records one call of an instance. Numbers are written with full precision, so that a difference in the last bit
+// shows.
 func (l *callLog) add(sidecar, restarts int, method string, arguments ...any) {
 	now := l.now()
 	line := strconv.AppendFloat(l.line[:0], now, 'g', -1, 64)
@@ -82,7 +86,7 @@
 		case []byte:
 			line = fmt.Appendf(line, "%x", a)
 		default:
-			panic(fmt.Sprintf("an argument of type %T", argument))
+			panic(fmt.Sprintf("call with an argument of unsupported type %T", argument))
 		}
 	}
 	l.line = append(line, '\n')
@@ -101,9 +105,9 @@
 	}
 }
 
-// goldenDay is what the record keeps of one day and seed.
+// caseRecord is the record of one case and seed.
 type caseRecord struct {
-	name    string // day and seed
+	name    string // case and seed
 	calls   int
 	all     string
 	seconds []string
@@ -122,7 +126,7 @@
 	return fmt.Sprintf("%s %d %s %s", d.name, d.calls, d.all, strings.Join(d.seconds, " "))
 }
 
-// difference names the first second in which two records of a day differ, "" if they are the same.
+// difference describes the first second in which two records of a case differ. It returns "" if they are the same.
 func (d caseRecord) difference(recorded caseRecord) string {
 	if d.String() == recorded.String() {
 		return ""
@@ -139,6 +143,7 @@
 	return fmt.Sprintf("%s: the calls differ; %d in all, %d in the record", d.name, d.calls, recorded.calls)
 }
 
+// readGolden reads the golden record, by case and seed.
 func readGolden(t *testing.T) map[string]caseRecord {
 	text, err := os.ReadFile(goldenFile)
 	require.NoError(t, err)
@@ -154,7 +159,7 @@
 	return records
 }
 
-// playGolden plays a day with one seed and returns its record.
+// runGoldenCase runs a case with one seed and returns its record.
 func runGoldenCase(t *testing.T, c *goldenCase, seed uint64) caseRecord {
 	s := parseScenario(t, c.scenarioFile(), seed)
 	log := newCallLog(t, fmt.Sprintf("%s-%d", c.name, seed))
@@ -164,18 +169,18 @@
 	return log.summary(fmt.Sprintf("%s %d", c.name, seed))
 }
 
-// No call that goes out of the module changes unnoticed.
+// Guards against unintended changes of decisions: every outgoing call of the module must match the golden record.
 func TestDecisionsMatchTheGoldenRecord(t *testing.T) {
 	inCI := os.Getenv("CI") == "true"
 	if runtime.GOARCH != goldenArch {
-		require.False(t, inCI, "the record is one of %s", goldenArch)
-		t.Skipf("the record is one of %s, this is %s", goldenArch, runtime.GOARCH)
+		require.False(t, inCI, "the record was made on %s", goldenArch)
+		t.Skipf("the record was made on %s, this is %s", goldenArch, runtime.GOARCH)
 	}
 	require.False(t, inCI && *update, "-update is refused in CI")
 	recorded, text := map[string]caseRecord{}, goldenHead
 	if !*update {
 		recorded = readGolden(t)
-		assert.Len(t, recorded, len(goldenCases)*seedsPerCase, "days in the record")
+		assert.Len(t, recorded, len(goldenCases)*seedsPerCase, "cases in the record")
 	}
 	for n := range goldenCases {
 		for seed := range uint64(seedsPerCase) {
@@ -190,12 +195,12 @@
 		}
 	}
 	if *update {
-		require.False(t, t.Failed(), "a day could not be played")
+		require.False(t, t.Failed(), "a case could not be run")
 		require.NoError(t, os.WriteFile(goldenFile, []byte(text), 0o644))
 	}
 }
 
-// The record tells times apart to the last bit, and arguments, callers and the order of calls.
+// The record must differ if a time differs in its last bit, or if an argument, a caller or the order of calls differs.
 func TestRecordDistinguishesCalls(t *testing.T) {
 	recordOf := func(calls func(l *callLog)) string {
 		l := &callLog{all: fnv.New64a(), now: func() float64 { return 0.1 }}
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -1,6 +1,7 @@
-// Package virtual plays a scenario in virtual time: many instances of the decision module, and the model of endpoints, in one
-// process and one goroutine. The same scenario gives the same account to the byte, whatever else the process does. It has no
-// clock and no sockets: what hangs on processes (reload, stop, upgrade) or on the bytes of a connection is refused by name.
+// Package virtual simulates a scenario in virtual time: many instances of the decision module and the emulated
+// endpoints run in one process and one goroutine. The same scenario gives byte for byte the same records, whatever else
+// the process does. There is no clock and there are no sockets: faults that depend on processes (reload, stop, upgrade)
+// or on the bytes of a connection are refused by name.
 package virtual
 
 import (
@@ -19,14 +20,20 @@
 )
 
 const (
-	networkDelayMs   = 0.25 // ms from one machine to another
-	answerGraceMs    = 20.0 // ms past the abandon time in which a sidecar still answers, as internal/sidecar has it
-	drainGraceMs     = 1000.0
-	drainTimeMs      = 5000.0
-	crossZoneDelayMs = 0.5 // ms more
+	// networkDelayMs is the delay of a message from one machine to another in the same zone.
+	networkDelayMs = 0.25
+	// answerGraceMs is the time after the abandon time during which a sidecar still answers, as in internal/sidecar.
+	answerGraceMs = 20.0
+	// drainGraceMs is the time after the notification of a drain during which new legs may still begin. A drained
+	// endpoint stops this long after its removal from the list.
+	drainGraceMs = 1000.0
+	// drainTimeMs is the time from the beginning of a drain to the endpoint's removal from the list.
+	drainTimeMs = 5000.0
+	// crossZoneDelayMs is added to networkDelayMs between zones.
+	crossZoneDelayMs = 0.5
 )
 
-// Decider is what decides: the module, or a baseline.
+// Decider takes the decisions of a sidecar: the decision module, or a baseline to compare it with.
 type Decider interface {
 	SetNow(now logic.Millis)
 	Listed(id logic.EndpointID, h logic.Health, zone logic.ZoneID, kind logic.KindID, cell logic.CellID, size float64, readyAt logic.Millis)
@@ -39,22 +46,22 @@
 	TimerFired(t logic.TimerID)
 }
 
-// Maker starts a decider.
+// DeciderFactory creates the decider of a sidecar that starts.
 type DeciderFactory func(t logic.Terms, out logic.Outgoing, now logic.Millis) Decider
 
-// Module is the maker of the program's own.
+// NewModule is the DeciderFactory of the decision module itself.
 func NewModule(t logic.Terms, out logic.Outgoing, now logic.Millis) Decider {
 	return logic.New(t, out, now)
 }
 
-// event is something that is due. Events of one time happen in the order in which they were set.
+// event is a scheduled function. Events that are due at the same time run in the order in which they were scheduled.
 type event struct {
 	at    float64
 	order uint64
 	do    func()
 }
 
-// events are a binary heap, without the boxes that container/heap would make for each.
+// eventQueue is a binary heap. It does not use container/heap, which would allocate an interface value for each event.
 type eventQueue []event
 
 func (e event) before(o event) bool { return e.at < o.at || e.at == o.at && e.order < o.order }
@@ -90,7 +97,7 @@
 	return first
 }
 
-// world is one run.
+// simulation is the state of one run. Times are in milliseconds from its start.
 type simulation struct {
 	scenario       *scenario.Scenario
 	book           *records.Book
@@ -98,23 +105,24 @@
 	lastOrder      uint64
 	now            float64
 	endpoints      []*endpoint
-	currentByName  map[string]*endpoint
-	endpointByID   map[logic.EndpointID]*endpoint
+	currentByName  map[string]*endpoint           // by the name in the scenario; a replacement takes the place of its predecessor
+	endpointByID   map[logic.EndpointID]*endpoint // including endpoints that have been replaced
 	sidecars       []*sidecar
-	listOutages    int
-	listDelayMs    float64
+	listOutages    int     // list-off faults in force
+	listDelayMs    float64 // from a change of the list to its publication
 	listVersion    int
 	newDecider     DeciderFactory
 	settingsByZone map[string]*fastjson.Value
 	err            error
 }
 
+// after schedules a function to run after a delay in milliseconds.
 func (sim *simulation) after(wait float64, do func()) {
 	sim.lastOrder++
 	sim.queue.push(event{sim.now + wait, sim.lastOrder, do})
 }
 
-// endpoint is the model and what it holds for whom.
+// endpoint is an emulated endpoint with the legs that it is processing.
 type endpoint struct {
 	scenario.Node
 	name           string
@@ -122,16 +130,16 @@
 	model          *emulator.Endpoint
 	legsByJob      map[uint64]*leg
 	lastJob        uint64
-	nextEventAt    float64
-	fallsRecorded  int
+	nextEventAt    float64 // next scheduled event of the model; infinite for none
+	fallsRecorded  int     // crashes from cold overload that have been recorded
 	stopped        bool
 	state          logic.Health
-	startedAt      float64
-	changedVersion int // version of the list
+	startedAt      float64 // on the module's clock; 0 for long ago
+	changedVersion int     // version of the list that has the endpoint's last change
 	sim            *simulation
 }
 
-// leg is one on its way.
+// leg is one leg of an exchange, from its sidecar to an endpoint and back.
 type leg struct {
 	exchange *exchange
 	number   logic.LegNo
@@ -139,11 +147,11 @@
 	record   *records.Leg
 	sentAt   float64
 	job      uint64
-	ended    bool // its end was told, or needs none
-	arrived  bool // it came to the endpoint
+	ended    bool // its end was reported to the decider, or is no longer needed
+	arrived  bool // its request reached the endpoint
 }
 
-// exchange is one at its sidecar.
+// exchange is an exchange at its sidecar.
 type exchange struct {
 	*records.Exchange
 	sidecar  *sidecar
@@ -151,7 +159,7 @@
 	answered bool
 }
 
-// sidecar is one instance.
+// sidecar is one simulated sidecar. It implements logic.Outgoing.
 type sidecar struct {
 	scenario.Node
 	sim             *simulation
@@ -159,21 +167,28 @@
 	names           *terms.Names
 	exchanges       map[logic.ExchangeID]*exchange
 	idleConnections map[*endpoint]int
-	linkFaults      []int // faults in force on its links upstream
-	restarts        int   // counts restarts
+	linkFaults      []int // indices of the faults in force on its upstream links
+	restarts        int   // incremented each time the sidecar is killed or restarted; invalidates events scheduled before
 	down            bool
-	knownVersion    int // version of the list that it knows; below 0 for none
+	knownVersion    int // version of the list that it received last; below 0 for none
 	watching        bool
 }
 
-// Run plays a scenario and returns the accounts.
+// Run simulates a scenario with deciders of the given factory and returns the records of clients and endpoints.
 func Run(s *scenario.Scenario, newDecider DeciderFactory) (*records.Book, error) {
 	recordTerms := records.Terms{Grace: 550, Drain: drainGraceMs, Free: s.Fleet.ExtraFree, Ratio: s.Fleet.ExtraRatio, LookBack: s.Fleet.BudgetWindow * 1000}
 	for _, p := range s.Products {
 		recordTerms.Products = append(recordTerms.Products, records.Product{Name: p.Name, Expected: p.ExpectedTime, Abandon: p.AbandonTime,
 			SingleUse: p.Effect == "single-use", Referenced: p.Effect == "referenced"})
 	}
-	sim := &simulation{scenario: s, book: records.New(recordTerms), currentByName: map[string]*endpoint{}, endpointByID: map[logic.EndpointID]*endpoint{}, newDecider: newDecider, settingsByZone: map[string]*fastjson.Value{}}
+	sim := &simulation{
+		scenario:       s,
+		book:           records.New(recordTerms),
+		currentByName:  map[string]*endpoint{},
+		endpointByID:   map[logic.EndpointID]*endpoint{},
+		newDecider:     newDecider,
+		settingsByZone: map[string]*fastjson.Value{},
+	}
 	sim.book.Slack = func(sidecar, _ int, _ float64) float64 { return sim.sidecars[sidecar].totalLinkDelay() * 2 }
 	for _, p := range s.EndpointNodes() {
 		sim.addEndpoint(p, p.Name, false)
@@ -198,7 +213,7 @@
 		}
 		e := sim.queue.pop()
 		if sim.now = e.at; n == len(arrivals) && sim.now > s.Length*1000+60000 {
-			break // the module's own beat goes on for ever
+			break // the module's timers would keep the queue from ever being empty
 		}
 		e.do()
 		if sim.err != nil {
@@ -211,6 +226,7 @@
 	return sim.book, nil
 }
 
+// allAnswered reports whether the scenario is over and no exchange is open.
 func (sim *simulation) allAnswered() bool {
 	if sim.now < sim.scenario.Length*1000 {
 		return false
@@ -223,8 +239,10 @@
 	return true
 }
 
-// ---- endpoints and the list
+// Endpoints and the list.
 
+// addEndpoint starts the endpoint of a node under a name of its own. Unless it is cold, it has been running for a long
+// time.
 func (sim *simulation) addEndpoint(p scenario.Node, name string, cold bool) {
 	e := &endpoint{Node: p, name: name, legsByJob: map[uint64]*leg{}, sim: sim, state: logic.Running, nextEventAt: math.Inf(1)}
 	started := -1e12
@@ -238,9 +256,11 @@
 	sim.listChanged(e)
 }
 
-// epoch keeps the module's clock away from 0, which means "long ago" to it.
+// epochMs is the time on the module's clock at the start of the run. It must not be near 0 because the module takes 0
+// to mean "long ago".
 const epochMs = 1e9
 
+// listChanged publishes a change of an endpoint, after the delay that faults add.
 func (sim *simulation) listChanged(e *endpoint) {
 	sim.after(sim.listDelayMs, func() {
 		sim.listVersion++
@@ -251,7 +271,7 @@
 	})
 }
 
-// tell brings a sidecar's list up to date, as a watch would.
+// updateList sends the sidecar the changes of the list since its last update, as a watch does.
 func (c *sidecar) updateList() {
 	if !c.watching || c.down || c.sim.listOutages > 0 {
 		return
@@ -279,7 +299,7 @@
 	})
 }
 
-// arm sets the next event of the model.
+// scheduleNext schedules an update at the next event of the model.
 func (e *endpoint) scheduleNext() {
 	next := e.model.Next()
 	if next >= e.nextEventAt || math.IsInf(next, 1) {
@@ -294,12 +314,14 @@
 	})
 }
 
+// update advances the model to the present, applies a change to it and schedules its next event.
 func (e *endpoint) update(change func()) {
 	e.model.Advance(e.sim.now, e.jobDone)
 	change()
 	e.scheduleNext()
 }
 
+// jobDone records the end of a job and returns its outcome to the sidecar.
 func (e *endpoint) jobDone(d emulator.Done) {
 	g := e.legsByJob[d.ID]
 	delete(e.legsByJob, d.ID)
@@ -311,7 +333,7 @@
 	g.returnOutcome(outcome, true)
 }
 
-// drop ends all that an endpoint holds, as the end of its process does.
+// dropAll resets all legs and connections of the endpoint, as the end of its process does.
 func (e *endpoint) dropAll() {
 	jobs := []uint64{}
 	for id := range e.legsByJob {
@@ -329,7 +351,8 @@
 	}
 }
 
-// back brings a leg's end to its sidecar.
+// returnOutcome delivers the outcome of a leg to its sidecar after the network delay. The answer may be lost, which the
+// sidecar sees as a reset connection.
 func (g *leg) returnOutcome(o logic.Outcome, keepConnection bool) {
 	c := g.exchange.sidecar
 	if o == logic.Succeeded || o == logic.Errored || o == logic.Full {
@@ -339,7 +362,7 @@
 	}
 	delay := c.oneWayDelay(g.endpoint)
 	if math.IsInf(delay, 1) {
-		return // it comes when the link is back: by then its sidecar has given up
+		return // the outcome would arrive when the link is restored; by then the sidecar has given up on the leg
 	}
 	c.sim.after(delay, func() {
 		if keepConnection && !g.ended && !g.endpoint.stopped {
@@ -349,7 +372,7 @@
 	})
 }
 
-// end tells the module of a leg's end, once.
+// reportEnd reports the end of a leg to the decider, at most once.
 func (g *leg) reportEnd(o logic.Outcome) {
 	c, sim := g.exchange.sidecar, g.exchange.sidecar.sim
 	if g.ended || c.exchanges[logic.ExchangeID(g.exchange.ID)] != g.exchange {
@@ -365,6 +388,7 @@
 	g.exchange.removeIfDone()
 }
 
+// answer records the answer to the client, unless there has been one.
 func (x *exchange) answer(status int) {
 	if !x.answered {
 		x.answered = true
@@ -372,6 +396,7 @@
 	}
 }
 
+// removeIfDone removes the exchange from its sidecar once it is answered and all its legs have ended.
 func (x *exchange) removeIfDone() {
 	if !x.answered || slices.ContainsFunc(x.legs, func(g *leg) bool { return !g.ended }) {
 		return
@@ -379,8 +404,9 @@
 	delete(x.sidecar.exchanges, logic.ExchangeID(x.ID))
 }
 
-// ---- sidecars
+// Sidecars.
 
+// start starts the sidecar's process: a new decider with the present list as if read from disk.
 func (c *sidecar) start() {
 	sim := c.sim
 	settings := sim.settingsByZone[c.Zone]
@@ -409,6 +435,8 @@
 	c.decider.ListEnds(true)
 }
 
+// arrive passes an exchange from a client to the decider. If there is no answer by the abandon time and the grace, the
+// client gets 504.
 func (c *sidecar) arrive(a scenario.Arrival) {
 	if c.down {
 		return
@@ -452,7 +480,7 @@
 	if !newConnection {
 		c.idleConnections[g.endpoint]--
 	} else {
-		delay *= 3 // the connection's own round trip before it
+		delay *= 3 // the round trip of the TCP handshake comes first
 	}
 	if math.IsInf(delay, 1) {
 		return
@@ -460,7 +488,7 @@
 	sim.after(delay, func() { g.arrive(newConnection) })
 }
 
-// arrive is a leg's first byte at its endpoint.
+// arrive handles the arrival of the leg's request at its endpoint.
 func (g *leg) arrive(newConnection bool) {
 	e, sim := g.endpoint, g.exchange.sidecar.sim
 	if g.ended {
@@ -504,7 +532,7 @@
 	})
 }
 
-// quit is a sidecar's end of a leg.
+// abandon ends a leg at its sidecar. The endpoint notices after the network delay and cancels the job.
 func (g *leg) abandon(o logic.Outcome) {
 	if g.ended {
 		return
@@ -533,6 +561,7 @@
 func (c *sidecar) Shed(id logic.ExchangeID, _ logic.Reason, _ logic.Millis) { c.answer(id, 503) }
 func (c *sidecar) Fail(id logic.ExchangeID, _ logic.Reason)                 { c.answer(id, 502) }
 
+// answer answers an exchange, if it is still open.
 func (c *sidecar) answer(id logic.ExchangeID, status int) {
 	if x := c.exchanges[id]; x != nil {
 		x.answer(status)
@@ -570,7 +599,7 @@
 func (c *sidecar) Probe(logic.EndpointID)          {}
 func (c *sidecar) Note(string)                     {}
 
-// trip is how long a message takes to an endpoint or back; infinite where the link is out.
+// oneWayDelay returns the time that a message takes to the endpoint or back, infinite if the link is interrupted.
 func (c *sidecar) oneWayDelay(e *endpoint) float64 {
 	delay := networkDelayMs
 	if e.Zone != c.Zone {
@@ -591,6 +620,7 @@
 	return delay
 }
 
+// totalLinkDelay returns the sum of the delays that the scenario's faults add to upstream links in one direction.
 func (c *sidecar) totalLinkDelay() (total float64) {
 	for _, f := range c.sim.scenario.Faults {
 		if f.Link == "upstream" && f.Kind == "delay" {
@@ -600,7 +630,7 @@
 	return total
 }
 
-// lost is the share of answers that are lost on the way.
+// answerLossShare returns the share of answers that are lost on the way to the sidecar.
 func (c *sidecar) answerLossShare() (share float64) {
 	for _, n := range c.linkFaults {
 		if f := &c.sim.scenario.Faults[n]; f.Kind == "lose" {
@@ -610,7 +640,8 @@
 	return share
 }
 
-// draw is a number from 0 to 1 that follows from the run so far.
+// randomFraction returns a pseudo-random number from 0 to 1. It depends only on the seed and the number of events
+// scheduled so far, so that a run can be repeated.
 func (sim *simulation) randomFraction() float64 {
 	z := (sim.lastOrder + sim.scenario.Seed) * 0x9e3779b97f4a7c15
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
--- a/internal/virtual/virtual_test.go
+++ b/internal/virtual/virtual_test.go
@@ -105,7 +105,8 @@
 	return book, b.String()
 }
 
-// The same seed gives the same account to the byte, with one worker and with eight; another seed another one.
+// Guards against results that depend on anything but the scenario: the same seed must give byte for byte the same
+// report, whether runs follow one another or eight run at once. Another seed must give another report.
 func TestSameSeedGivesTheSameReport(t *testing.T) {
 	const runs = 8
 	sequential, concurrent := [runs]string{}, [runs]string{}
@@ -124,7 +125,8 @@
 	assert.NotEqual(t, sequential[1], sequential[2])
 }
 
-// The rules hold over seeds, with faults together; random choice, which knows nothing, loses none but serves less.
+// The rules must hold for several seeds while several faults act at once. Random choice, which uses no information
+// about the endpoints, gets the same arrivals but answers fewer of them in time.
 func TestRulesHoldOverSeedsWithFaults(t *testing.T) {
 	for seed := range uint64(10) {
 		book, _ := runAndReport(t, parseScenario(t, scenarioText(12, 20, 12, 8, mixedFaults), seed+1), NewModule)
@@ -134,12 +136,14 @@
 		other, _ := runAndReport(t, parseScenario(t, scenarioText(12, 20, 12, 8, mixedFaults), seed+1), Baselines["random"])
 		ours, random := book.Service(0, 8000, -1), other.Service(0, 8000, -1)
 		assert.Greater(t, ours.InTime, random.InTime, "seed %d", seed+1)
-		assert.Equal(t, ours.Asked, random.Asked, "the same arrivals")
+		assert.Equal(t, ours.Asked, random.Asked, "both policies get the same arrivals")
 	}
 }
 
-// Light sidecars kept to sets by accident: Jain's index of 8 s was 0.85 to 0.96 over these seeds where random choice gives 0.99.
-// With places of their own it is 0.97 and more, steady and after a third was killed; who is told no number is still served.
+// Guards against an uneven spread of load by lightly loaded sidecars. They kept to sets of endpoints that had formed by
+// accident: Jain's index over 8 s was 0.85 to 0.96 with these seeds, where random choice gives 0.99. With subset
+// positions it is at least 0.97, both in a steady fleet and after a third of it was killed. Sidecars without a number
+// must still spread their load.
 func TestLightSidecarsSpreadEvenly(t *testing.T) {
 	all := strings.NewReplacer("expected_ms = 200", "expected_ms = 400", "work_ms = 20", "work_ms = 10", "cold_from = 0.2\ncold_s = 5\nfall_multiple = 3\nfall_s = 1\n", "").
 		Replace(scenarioText(30, 6, 12, 20, "[[faults]]\nat_s = 11\nfor_s = 1\nwhat = \"kill\"\nwho = [\"s*\"]\nshare = 0.33\n"))
@@ -157,12 +161,13 @@
 			return logic.New(t, out, now)
 		})
 		require.NoError(t, err)
-		assert.Greater(t, book.Spread(2000, 10000, 8000, 1).Jain, 0.85, "no herd where nobody is told a number")
+		assert.Greater(t, book.Spread(2000, 10000, 8000, 1).Jain, 0.85, "sidecars without numbers must not all use the same endpoints")
 	}
 }
 
-// Own places must not hold a sidecar to slow endpoints: with speeds 1:2:4 the shares were 0.25, 0.36 and 0.38 where places were drawn
-// alike. Shares follow speed (0.14, 0.29, 0.57) as far as a light sidecar's own legs tell.
+// Guards against subset positions that keep a sidecar at slow endpoints: with speeds of 1:2:4 the shares of the load
+// were 0.25, 0.36 and 0.38 when positions were drawn regardless of speed. Shares must follow speed (0.14, 0.29, 0.57)
+// as far as a lightly loaded sidecar can measure it by its own legs.
 func TestSharesFollowSpeed(t *testing.T) {
 	all := strings.NewReplacer("expected_ms = 200", "expected_ms = 400", "work_ms = 20", "work_ms = 40", "cold_from = 0.2\ncold_s = 5\nfall_multiple = 3\nfall_s = 1\n",
 		"cores = 2\nspeeds = [0.5, 1.0, 2.0]\n").Replace(scenarioText(60, 4, 18, 40, ""))
@@ -177,7 +182,8 @@
 	assert.Greater(t, shares[2]/total, 0.42)
 }
 
-// With room to spare every policy answers all, and two choices of a single sidecar, which sees all legs, hold fewer at once.
+// With spare capacity every policy must answer nearly all exchanges. With a single sidecar, which knows all legs, two
+// choices must keep fewer legs at an endpoint at once than random choice.
 func TestBaselinesServeAllAndTwoChoicesHoldFewerLegs(t *testing.T) {
 	held := map[string]int{}
 	for name, newDecider := range Baselines {
@@ -191,12 +197,14 @@
 	assert.GreaterOrEqual(t, held["two choices"], held["least in hand"])
 }
 
+// A fault that can't be simulated must be refused with its key and name.
 func TestFaultsThatNeedSocketsAreRefused(t *testing.T) {
 	_, err := Run(parseScenario(t, scenarioText(2, 1, 2, 5, "[[faults]]\nat_s = 1\nfor_s = 1\nwhat = \"stop\"\nwho = [\"s0\"]\n"), 1), NewModule)
 	assert.ErrorContains(t, err, "faults[0].what: stop")
 }
 
-// How much faster than the clock 100 instances before 100 endpoints at 2,000 exchanges a second are: s/s.
+// BenchmarkVirtual measures how many seconds are simulated per second of real time (s/s), with 100 sidecars, 100
+// endpoints and 2,000 exchanges per second.
 func BenchmarkVirtual(b *testing.B) {
 	s := parseScenario(b, scenarioText(100, 20, 100, 10, ""), 1)
 	for b.Loop() {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire turns the bench's lines into calls of the decision module and its calls into lines.
-// It decides nothing.
+// Package wire is the simulator's adapter: it translates the simulator's JSON lines into calls of the decision module
+// and the module's calls into JSON lines. It takes no decisions of its own.
 package wire
 
 import (
@@ -16,24 +16,26 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// Hub hosts the instances of one process; they share nothing but the stream.
+// Hub hosts all instances of one process. The instances share the input and output streams and nothing else.
 type Hub struct {
 	in          *bufio.Reader
 	out         *bufio.Writer
 	parser      fastjson.Parser
 	inventories map[int]*inventory
 	instances   map[int]*instance
-	longLine    []byte
+	longLine    []byte // buffer of a line that is longer than the reader's buffer
 	lineNumber  int
-	now         logic.Millis
+	now         logic.Millis // time of the current batch
 }
 
-// inventory keeps its own parser, since its values live on after the next line is read.
+// inventory is a list of endpoints that MEMBERS messages refer to by number. It has a parser of its own because its
+// values must stay valid after the next line is parsed.
 type inventory struct {
 	parser  fastjson.Parser
 	entries []*fastjson.Value
 }
 
+// NewHub returns a hub that reads messages from in and writes actions to out.
 func NewHub(in io.Reader, out io.Writer) *Hub {
 	return &Hub{
 		in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<20),
@@ -41,7 +43,8 @@
 	}
 }
 
-// Run serves batches until the input ends between two of them.
+// Run processes batches of messages until the input ends. It returns an error if the input ends inside a batch, a line
+// is not JSON, or the output cannot be written.
 func (h *Hub) Run() error {
 	inBatch := false
 	for {
@@ -81,6 +84,7 @@
 	}
 }
 
+// readLine returns the next line. The line is valid until the next call.
 func (h *Hub) readLine() ([]byte, error) {
 	text, err := h.in.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
@@ -108,7 +112,8 @@
 	return nil
 }
 
-// deliver hands one event to its instance; a fault there is that instance's own and is reported.
+// deliver passes one event to the instance that it addresses. A panic inside an instance is reported and removes only
+// that instance.
 func (h *Hub) deliver(msg string, v *fastjson.Value) {
 	number := v.GetInt("sidecar")
 	defer func() {
@@ -153,14 +158,17 @@
 	}
 }
 
+// outcomeByStatus are the outcomes of legs by their names on the wire. Any other name is an unknown outcome.
 var outcomeByStatus = map[string]logic.Outcome{
 	"GOOD": logic.Succeeded, "BAD": logic.Errored, "FULL": logic.Full, "LATE": logic.TimedOut,
 	"NOCONN": logic.NoConnection, "RST": logic.Reset, "CXL": logic.Cancelled, "NOP": logic.NotSent,
 }
 
+// healthByName are the states of endpoints by their names on the wire. An endpoint in any other state is not running.
 var healthByName = map[string]logic.Health{"Running": logic.Running, "Deleted": logic.Gone}
 
-// instance is one sidecar: its module, its names, and the writer of its actions.
+// instance is one simulated sidecar: its decision module, the names in its settings, and the output for its actions. It
+// implements logic.Outgoing.
 type instance struct {
 	number       int
 	module       *logic.Balancer
@@ -178,6 +186,8 @@
 	return i
 }
 
+// applyList passes a MEMBERS message to the module. Scope "error" is a failed call for the list, "diff" a change of the
+// last list, "disk" a stored list; any other scope is a complete list.
 func (i *instance) applyList(scope string, list *inventory) {
 	if scope == "error" {
 		i.module.ListCallFailed()
@@ -197,6 +207,7 @@
 	i.module.ListEnds(scope == "disk")
 }
 
+// endpointID returns the ID of an endpoint without allocating a string for a name that occurred before.
 func (i *instance) endpointID(text []byte) logic.EndpointID {
 	e, known := i.endpointIDs[string(text)]
 	if !known {
@@ -206,7 +217,8 @@
 	return e
 }
 
-// action starts an action's object; write sends it off.
+// newAction returns the object of an action, to be completed by the caller and sent by write. The object is valid until
+// the next call.
 func (i *instance) newAction(msg string) *fastjson.Value {
 	i.arena.Reset()
 	o := i.arena.NewObject()
@@ -217,7 +229,7 @@
 
 func (i *instance) write(o *fastjson.Value) {
 	i.lineBuffer = append(o.MarshalTo(i.lineBuffer[:0]), '\n')
-	i.out.Write(i.lineBuffer) // a broken pipe shows at the flush
+	i.out.Write(i.lineBuffer) // a write error is reported by Flush at the end of the batch
 }
 
 func (i *instance) newExchangeAction(msg string, x logic.ExchangeID) *fastjson.Value {
@@ -283,6 +295,7 @@
 
 func (i *instance) Note(line string) { i.writeLineAction("EMIT", line) }
 
+// reportPanic tells the simulator that the instance has ended with a panic.
 func (i *instance) reportPanic(message string) { i.writeLineAction("DIE", message) }
 
 func (i *instance) writeLineAction(msg, line string) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -29,27 +29,29 @@
 		input                      []string
 		wantOutput, unwantedOutput []string
 	}{
-		{"empty batch", "", []string{sync, end}, []string{`{"msg":"OK"}`}, nil},
-		{"start and send", "", []string{sync, helloMessage, inventoryMessage, membersMessage, queryMessage, end}, []string{
+		{"an empty batch is acknowledged", "", []string{sync, end}, []string{`{"msg":"OK"}`}, nil},
+		{"an exchange is sent to a listed endpoint", "", []string{sync, helloMessage, inventoryMessage, membersMessage,
+			queryMessage, end}, []string{
 			`{"msg":"WATCH","sidecar":3,"want":true}`, `"ref":"5d3a91c4-29e0-4d37-aecf-79864cd1a9ed","give-up-after":`,
 			`"endpoint":"10.0.0.1:80"}`,
 		}, []string{"10.0.0.2", "DIE"}},
-		{"list number used again", "", []string{sync, helloMessage, inventoryMessage, membersMessage, strings.ReplaceAll(inventoryMessage, "0.0.1:", "0.0.9:"),
-			membersMessage, queryMessage, end}, []string{`10.0.0.9:80`}, []string{"0.0.1:"}},
-		{"killed, all forgotten", "", []string{sync, helloMessage, inventoryMessage, membersMessage, queryMessage, `{"msg":"RETIRE","sidecar":3}`, reply, end},
+		{"the content of an inventory number is replaced", "", []string{sync, helloMessage, inventoryMessage, membersMessage,
+			strings.ReplaceAll(inventoryMessage, "0.0.1:", "0.0.9:"), membersMessage, queryMessage, end}, []string{`10.0.0.9:80`}, []string{"0.0.1:"}},
+		{"a retired instance ignores later messages", "", []string{sync, helloMessage, inventoryMessage, membersMessage,
+			queryMessage, `{"msg":"RETIRE","sidecar":3}`, reply, end},
 			[]string{`{"msg":"OK"}`}, []string{"END_FAILED", "DIE"}},
-		{"unknown message, label up to 2^63", "", []string{sync, helloMessage, `{"msg":"NEWS","sidecar":3}`,
+		{"an unknown message and a timer label of 2^63 are accepted", "", []string{sync, helloMessage, `{"msg":"NEWS","sidecar":3}`,
 			`{"msg":"ALARM","sidecar":3,"label":9223372036854775808}`, end}, []string{`{"msg":"OK"}`}, []string{"DIE"}},
-		{"a fault inside an instance", "", []string{sync, helloMessage, inventoryMessage, membersMessage, queryMessage,
+		{"a panic inside an instance is reported", "", []string{sync, helloMessage, inventoryMessage, membersMessage, queryMessage,
 			strings.Replace(reply, `"try":0`, `"try":-1`, 1), end}, []string{`{"msg":"DIE","sidecar":3,"line":`}, nil},
-		{"a pool tells, and hears what makes no sense", "", []string{sync,
+		{"a pool sends messages and ignores invalid ones", "", []string{sync,
 			strings.Replace(strings.Replace(helloMessage, `"max-legs":2`, `"max-legs":2,"peers":true`, 1), `"fleet-size":1`, `"fleet-size":5`, 1),
 			`{"msg":"MEMO","sidecar":3,"origin-peer":2,"contents":"zz"}`, `{"msg":"MEMO","sidecar":3,"origin-peer":-2,"contents":""}`,
 			`{"msg":"MEMO","sidecar":3}`, inventoryMessage, membersMessage, `{"msg":"MEMO","sidecar":3,"origin-peer":2,"contents":"0011"}`,
 			strings.Replace(queryMessage, `"cost":null`, `"cost":12.5`, 1), end},
 			[]string{`{"msg":"WRITE_PEER","sidecar":3,"to":`, `"contents":"`, `"endpoint":"10.0.0.1:80"}`}, []string{"DIE", `"to":0,`}},
-		{"not JSON", "line 2: not JSON", []string{sync, "{"}, nil, nil},
-		{"broken off", "line 2: input ended inside a batch", []string{sync}, nil, nil},
+		{"a line that is not JSON", "line 2: not JSON", []string{sync, "{"}, nil, nil},
+		{"input that ends inside a batch", "line 2: input ended inside a batch", []string{sync}, nil, nil},
 	} {
 		var out bytes.Buffer
 		err := NewHub(strings.NewReader(strings.Join(c.input, "\n")+"\n"), &out).Run()
