--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -182,8 +182,8 @@
 // earlier is the earlier of a time and of when the last bytes had come. c may be nil.
 func (c *clientConn) earlierReceipt(t time.Time) time.Time {
 	if c != nil {
-		if came := c.lastReceivedAt(); came.Before(t) {
-			return came
+		if received := c.lastReceivedAt(); received.Before(t) {
+			return received
 		}
 	}
 	return t
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -22,7 +22,7 @@
 func (r *testSidecar) startConsole() string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(r, err)
-	s := &console{server: r.front, drains: r.loop.operatorDrains, log: zap.NewNop()}
+	s := &console{server: r.server, drains: r.loop.operatorDrains, log: zap.NewNop()}
 	web := s.httpServer()
 	go s.serve(web, ln)
 	r.Cleanup(func() { web.Close() })
@@ -72,7 +72,7 @@
 func TestConsoleCalls(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(t.TempDir()))
 	consoleAddr := r.startConsole()
-	assert.Eventually(t, r.front.servesAlone, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, r.server.servesAlone, 5*time.Second, time.Millisecond)
 	for _, c := range []struct {
 		method, path string
 		status       int
@@ -87,7 +87,7 @@
 		assert.Equal(t, c.status, status, "%s %s: %s", c.method, c.path, body)
 	}
 	end := time.Now()
-	r.front.shutdownBy.Store(&end)
+	r.server.shutdownBy.Store(&end)
 	status, _ := callConsole(t, consoleAddr, "GET", "/healthcheck")
 	assert.Equal(t, 503, status, "a process that is shutting down must not be sent requests")
 }
@@ -145,9 +145,9 @@
 	assert.Equal(t, 503, r.status(requestText("full", "POST", "buy/full", none)))
 	assert.Equal(t, 404, r.status(requestText("no class", "GET", "sell", "")))
 	assert.Equal(t, 400, r.status(requestText("", "GET", "look", "")))
-	r.front.maxBodyBytesTotal = -1
+	r.server.maxBodyBytesTotal = -1
 	assert.Equal(t, 503, r.status(requestText("turned", "GET", "look", "")), "shed without the module")
-	r.front.maxBodyBytesTotal = 1 << 20
+	r.server.maxBodyBytesTotal = 1 << 20
 	slow := r.dial()
 	slow.Write([]byte(requestText("slow", "POST", "buy/slow", none)))
 	<-open
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -92,18 +92,18 @@
 					<-dialled
 					closeClient(conn, how)
 					if c.name != "in chunks, another behind" { // whose end is seen by the look before the first byte only
-						eventually(t, "its leaving is known at once", func() bool { return r.front.counters.clientsLeft.Load() == 1 })
+						eventually(t, "its leaving is known at once", func() bool { return r.server.counters.clientsLeft.Load() == 1 })
 					} else {
 						eventually(t, "it has come", func() bool {
-							return r.front.counters.clientsLeft.Load() == 1 || r.onlyClient().peekState() == connEnded
+							return r.server.counters.clientsLeft.Load() == 1 || r.onlyClient().peekState() == connEnded
 						})
 					}
 					resume()
-					eventually(t, "it is over", func() bool { return r.loop.unanswered.Load()+r.front.activeHandlers.Load() == 0 })
+					eventually(t, "it is over", func() bool { return r.loop.unanswered.Load()+r.server.activeHandlers.Load() == 0 })
 					eventually(t, "and its leg too", func() bool { return r.openExchanges() == 0 })
 					assert.Zero(t, s.requests.Load(), "never sent on")
-					assert.EqualValues(t, 1, r.front.counters.clientsLeft.Load())
-					assert.EqualValues(t, 1, r.front.counters.exchanges.Load(), "nor what stood behind")
+					assert.EqualValues(t, 1, r.server.counters.clientsLeft.Load())
+					assert.EqualValues(t, 1, r.server.counters.exchanges.Load(), "nor what stood behind")
 				})
 			}
 		}
@@ -138,11 +138,11 @@
 				require.NoError(t, <-sent)
 				closeClient(conn, how)
 				eventually(t, "its end has come", func() bool {
-					n := r.front.counters
+					n := r.server.counters
 					return n.badInput.Load()+n.clientsLeft.Load() == 1 || r.onlyClient().peekState() == connEnded
 				})
 				resume()
-				eventually(t, "it is over", func() bool { return r.loop.unanswered.Load()+r.front.activeHandlers.Load() == 0 })
+				eventually(t, "it is over", func() bool { return r.loop.unanswered.Load()+r.server.activeHandlers.Load() == 0 })
 				eventually(t, "and its leg too", func() bool { return r.openExchanges() == 0 })
 				assert.Zero(t, s.requests.Load(), "never sent on")
 			})
@@ -159,9 +159,9 @@
 
 // theOne is the only connection of a client.
 func (r *testSidecar) onlyClient() *clientConn {
-	r.front.descriptors.mu.Lock()
-	defer r.front.descriptors.mu.Unlock()
-	for c := range r.front.descriptors.clients {
+	r.server.descriptors.mu.Lock()
+	defer r.server.descriptors.mu.Unlock()
+	for c := range r.server.descriptors.clients {
 		return c
 	}
 	return &clientConn{} // it is gone
@@ -193,7 +193,7 @@
 				conn.Write([]byte(requestText("1", "GET", "look", "")))
 				<-dialled
 				closeClient(conn, "FIN")
-				eventually(t, "its leaving is known", func() bool { return r.front.counters.clientsLeft.Load() == 1 })
+				eventually(t, "its leaving is known", func() bool { return r.server.counters.clientsLeft.Load() == 1 })
 				resume()
 				eventually(t, "it is over", func() bool { return r.openExchanges() == 0 })
 				assert.EqualValues(t, 1, s.requests.Load(), "the first only")
@@ -218,15 +218,15 @@
 		resumeFirst() // the exchange is sent, the leaving is not heard of
 		eventually(t, "the leg has ended", func() bool { return len(r.loop.queue) >= 2 && r.upstreamConnections() == 0 })
 		resumeSecond()
-		eventually(t, "it is over", func() bool { return r.openExchanges() == 0 && r.front.activeHandlers.Load() == 0 })
+		eventually(t, "it is over", func() bool { return r.openExchanges() == 0 && r.server.activeHandlers.Load() == 0 })
 		assert.Zero(t, s.requests.Load())
-		assert.EqualValues(t, 1, r.front.counters.clientsLeft.Load())
+		assert.EqualValues(t, 1, r.server.counters.clientsLeft.Load())
 	}
 }
 
 // legsBegun counts connections to endpoints that are in use or idle.
 func (r *testSidecar) upstreamConnections() int {
-	_, n := r.front.descriptors.connections()
+	_, n := r.server.descriptors.connections()
 	return n
 }
 
@@ -386,9 +386,9 @@
 			return neverAnswer(conn, q)
 		})
 		r := startSidecar(t, "null", func(s *Config) { s.Discovery = d.Addr().String() })
-		eventually(t, c.name, func() bool { return r.front.counters.lists.Load() == 1 })
+		eventually(t, c.name, func() bool { return r.server.counters.lists.Load() == 1 })
 		close(notify)
-		eventually(t, c.name, func() bool { return r.front.counters.lists.Load() == 2 })
+		eventually(t, c.name, func() bool { return r.server.counters.lists.Load() == 2 })
 		state := make(chan string)
 		r.loop.post(loopFunc(func(l *loop) {
 			text := ""
@@ -442,13 +442,13 @@
 				return neverAnswer(conn, q)
 			})
 			r := startSidecar(t, "null", func(s *Config) { s.Discovery = first.Addr().String() })
-			eventually(t, "the first list", func() bool { return r.front.counters.lists.Load() == 1 })
+			eventually(t, "the first list", func() bool { return r.server.counters.lists.Load() == 1 })
 			if c.moves {
 				r.loop.post(discoveryChanged{second.Addr().String()})
 			} else {
 				close(ends)
 			}
-			eventually(t, "the next list", func() bool { return r.front.counters.lists.Load() == 2 })
+			eventually(t, "the next list", func() bool { return r.server.counters.lists.Load() == 2 })
 			takes := make(chan bool)
 			r.loop.post(loopFunc(func(l *loop) {
 				e := l.upstream.find("a")
@@ -482,7 +482,7 @@
 	for _, asked := range []string{"", "&after=5", ""} {
 		assert.Equal(t, "/discovery/hosts?watch=1"+asked, (<-d.received).RequestURI)
 	}
-	eventually(t, "its list", func() bool { return r.front.counters.listVersion.Load() == 1 })
+	eventually(t, "its list", func() bool { return r.server.counters.listVersion.Load() == 1 })
 	assert.Equal(t, 200, r.status(requestText("1", "GET", "look", "")))
 }
 
@@ -506,9 +506,9 @@
 		l.list.names = names
 	}))
 	assert.Equal(t, "/discovery/hosts?watch=1", (<-d.received).RequestURI)
-	eventually(t, "the list again", func() bool { return r.front.counters.listVersion.Load() == 1 && r.front.counters.lists.Load() > 1 })
+	eventually(t, "the list again", func() bool { return r.server.counters.listVersion.Load() == 1 && r.server.counters.lists.Load() > 1 })
 	assert.Equal(t, 200, r.status(requestText("1", "GET", "look", "")))
-	assert.EqualValues(t, 1, r.front.counters.panics.Load())
+	assert.EqualValues(t, 1, r.server.counters.panics.Load())
 }
 
 // accepted is a client's connection that nobody reads yet, and the client's end of it.
@@ -596,7 +596,7 @@
 	c.Write([]byte(text[:30]))
 	eventually(t, "half of it was read", func() bool { return phase(r.onlyClient().phase.Load()) == phaseReading })
 	r.stop()
-	listener := r.front.listener.Load()
+	listener := r.server.listener.Load()
 	eventually(t, "the listener is closed", func() bool {
 		raw, err := listener.SyscallConn()
 		return err != nil || raw.Control(func(uintptr) {}) != nil
@@ -756,7 +756,7 @@
 				<-s.received
 			}
 			closeClient(first, "RST")
-			eventually(t, "its leaving is known", func() bool { return r.front.counters.clientsLeft.Load() == 1 })
+			eventually(t, "its leaving is known", func() bool { return r.server.counters.clientsLeft.Load() == 1 })
 			if !c.begun {
 				resume()
 			}
@@ -923,7 +923,7 @@
 		{"the first is back", listText(6, false, placedEntryText("s0", rightAddr, "a", "k", "in_service")), right},
 	} {
 		notify <- c.line
-		eventually(t, c.name, func() bool { return r.front.counters.listVersion.Load() == int64(n+1) })
+		eventually(t, c.name, func() bool { return r.server.counters.listVersion.Load() == int64(n+1) })
 		for _, s := range []*stubEndpoint{right, other, wrong} {
 			for len(s.received) > 0 {
 				<-s.received
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -189,10 +189,10 @@
 		{"whole list", listText(8, true, entryText("s1", at, "in_service")), a},
 		{"missing from the whole list", listText(9, true, entryText("s2", bt, "in_service")), b},
 	} {
-		before := r.front.counters.lists.Load()
+		before := r.server.counters.lists.Load()
 		lines <- c.line
 		if c.line != "" {
-			assert.Eventually(t, func() bool { return r.front.counters.lists.Load() > before }, 5*time.Second,
+			assert.Eventually(t, func() bool { return r.server.counters.lists.Load() > before }, 5*time.Second,
 				time.Millisecond, c.name)
 		}
 		seen := [2]int64{a.requests.Load(), b.requests.Load()}
@@ -232,7 +232,7 @@
 	defer close(lines[1])
 	var start *Config
 	r := startSidecar(t, listOf(a), func(s *Config) { start, s.Discovery = s, d[0].Addr().String() })
-	c := r.front.counters
+	c := r.server.counters
 	update := func(n int, line string) {
 		before := c.lists.Load()
 		lines[n] <- line
@@ -241,7 +241,7 @@
 	signals, files := make(chan os.Signal), make(chan func() (*Config, error), 1)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	go start.followReloads(ctx, r.front, signals, func() (*Config, error) { return (<-files)() })
+	go start.followReloads(ctx, r.server, signals, func() (*Config, error) { return (<-files)() })
 	reload := func(discovery string, err error) {
 		files <- func() (*Config, error) { return &Config{Discovery: discovery, Listen: start.Listen}, err }
 		signals <- syscall.SIGHUP
@@ -284,16 +284,16 @@
 		reads := atomic.Int64{}
 		signals := make(chan os.Signal, 1)
 		ctx, end := context.WithCancel(context.Background())
-		go start.followReloads(ctx, r.front, signals, func() (*Config, error) {
+		go start.followReloads(ctx, r.server, signals, func() (*Config, error) {
 			if reads.Add(1) <= 3 {
 				return nil, &os.PathError{Op: "open", Path: "start.json", Err: fault}
 			}
 			return &Config{Discovery: d.Addr().String(), Listen: start.Listen}, nil
 		})
 		signals <- syscall.SIGHUP
-		eventually(t, fault.Error(), func() bool { return r.front.counters.listVersion.Load() == 7 })
+		eventually(t, fault.Error(), func() bool { return r.server.counters.listVersion.Load() == 7 })
 		assert.EqualValues(t, 4, reads.Load(), fault)
-		assert.EqualValues(t, 1, r.front.counters.reloads.Load(), fault)
+		assert.EqualValues(t, 1, r.server.counters.reloads.Load(), fault)
 		end()
 	}
 }
@@ -430,8 +430,8 @@
 		{"whole list of other endpoints", listText(6, true, named(5000, 5000+many, "in_service")...), many, 200},
 	} {
 		lines <- c.line
-		eventually(t, c.name, func() bool { return r.front.counters.listVersion.Load() == int64(n+1) })
-		assert.Equal(t, c.listed, r.front.counters.listEndpoints.Load(), c.name)
+		eventually(t, c.name, func() bool { return r.server.counters.listVersion.Load() == int64(n+1) })
+		assert.Equal(t, c.listed, r.server.counters.listEndpoints.Load(), c.name)
 		assert.Equal(t, c.status, r.status(requestText(fmt.Sprint(n), "GET", "look", "")), c.name)
 	}
 	assert.Len(t, r.loop.upstream.snapshot(), many)
--- a/internal/sidecar/lease_test.go
+++ b/internal/sidecar/lease_test.go
@@ -155,7 +155,7 @@
 		ended <- time.Now()
 		c.Write([]byte(lastChunk))
 	})
-	eventually(t, "the first list", func() bool { return l.front.counters.listVersion.Load() == 7 })
+	eventually(t, "the first list", func() bool { return l.server.counters.listVersion.Load() == 7 })
 	l.loop.postUrgent(discoveryChanged{next.Addr().String()})
 	eventually(t, "the next discovery is called", func() bool { return next.requests.Load() > 0 })
 	time.Sleep(100 * time.Millisecond)
@@ -210,14 +210,14 @@
 		}
 		if n == 2 {
 			time.Sleep(notifiedAfterEnded + leaseGrace + 50*time.Millisecond)
-			answered <- l.front.counters.legsByOutcome[logic.NotSent].Load()
+			answered <- l.server.counters.legsByOutcome[logic.NotSent].Load()
 			c.Write([]byte(watchHead + chunk(l.inService(8))))
 		}
 		neverAnswer(c, nil)
 	})
 	l.load((<-ended).Add(notifiedAfterEnded + leaseGrace + time.Second))
-	assert.EqualValues(t, 1, l.front.counters.leaseSuspensions.Load())
-	assert.Equal(t, <-answered, l.front.counters.legsByOutcome[logic.NotSent].Load(), "legs held back before and after the list; answers %v", l.statuses)
+	assert.EqualValues(t, 1, l.server.counters.leaseSuspensions.Load())
+	assert.Equal(t, <-answered, l.server.counters.legsByOutcome[logic.NotSent].Load(), "legs held back before and after the list; answers %v", l.statuses)
 }
 
 func TestRequestsThatWaitForAListAreSentWhenItComesToASlowLoop(t *testing.T) {
@@ -230,7 +230,7 @@
 		}
 		if n == 2 {
 			time.Sleep(notifiedAfterEnded + leaseGrace + 50*time.Millisecond)
-			answered <- l.front.counters.legsByOutcome[logic.NotSent].Load()
+			answered <- l.server.counters.legsByOutcome[logic.NotSent].Load()
 			c.Write([]byte(watchHead + chunk(l.inService(8))))
 		}
 		neverAnswer(c, nil)
@@ -238,8 +238,8 @@
 	delay := func() { time.Sleep(20 * time.Millisecond) }
 	l.loop.onChange.Store(&delay)
 	l.load((<-ended).Add(notifiedAfterEnded + leaseGrace + time.Second))
-	assert.EqualValues(t, 1, l.front.counters.leaseSuspensions.Load())
-	assert.Equal(t, <-answered, l.front.counters.legsByOutcome[logic.NotSent].Load(), "legs held back before and after the list; answers %v", l.statuses)
+	assert.EqualValues(t, 1, l.server.counters.leaseSuspensions.Load())
+	assert.Equal(t, <-answered, l.server.counters.legsByOutcome[logic.NotSent].Load(), "legs held back before and after the list; answers %v", l.statuses)
 }
 
 func TestNoRequestToADrainWhileReloadsFollowAnEndedWatch(t *testing.T) {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -291,12 +291,12 @@
 func (l *loop) fireTimers() {
 	l.advanceClock()
 	for len(l.timers) > 0 && l.timers[0].at <= l.now {
-		a := heap.Pop(&l.timers).(timer)
-		l.runGuarded(a.deadlineOf, func() {
-			if a.deadlineOf == nil {
-				l.module.TimerFired(a.id)
+		t := heap.Pop(&l.timers).(timer)
+		l.runGuarded(t.deadlineOf, func() {
+			if t.deadlineOf == nil {
+				l.module.TimerFired(t.id)
 			} else {
-				l.answerOverdue(a.deadlineOf)
+				l.answerOverdue(t.deadlineOf)
 			}
 		})
 	}
@@ -498,7 +498,7 @@
 		giveUpAfter = remaining
 	}
 	g := &leg{sentAt: l.now, deadline: time.Now().Add(toDuration(giveUpAfter)), request: &x.request, endpoint: l.upstream.find(to)}
-	l.setAnswerBounds(x, g)
+	l.setLegBounds(x, g)
 	g.exchange, g.leaseEnded = x, &l.suspended
 	g.ctx, g.cancel = context.WithCancel(l.ctx)
 	n := logic.LegNo(len(x.legs))
@@ -538,7 +538,7 @@
 }
 
 // schedule tells a leg when its answer is passed on at the latest, and whether a pause in it may be used for another leg.
-func (l *loop) setAnswerBounds(x *exchange, g *leg) {
+func (l *loop) setLegBounds(x *exchange, g *leg) {
 	if x.product < 0 || int(x.product) >= len(l.products) {
 		g.waitsThroughPauses = true
 		return
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -43,8 +43,8 @@
 	case r.ContentLength > maxStreamedBytes:
 		return nil, http.StatusRequestEntityTooLarge, "body too long"
 	}
-	if maxBytes := s.maxTimeout(product); maxBytes > 0 {
-		timeout = min(timeout, maxBytes) // nobody is promised more, and exchange, body and alarm would stay as long
+	if limit := s.maxTimeout(product); limit > 0 {
+		timeout = min(timeout, limit) // nobody is promised more, and exchange, body and alarm would stay as long
 	}
 	control := http.NewResponseController(w)
 	source := &minRateReader{source: r.Body, control: control, startBy: receivedAt.Add(bodyStartTimeout)}
@@ -58,12 +58,12 @@
 	if r.ContentLength > s.maxBufferedBodyBytes {
 		rest = &streamedRequest{bodyPipe: newBodyPipe(), length: r.ContentLength}
 	} else {
-		maxBytes := s.maxBufferedBodyBytes
+		limit := s.maxBufferedBodyBytes
 		if r.ContentLength < 0 {
-			maxBytes = maxBufferedBodyBytes
+			limit = maxBufferedBodyBytes
 		}
-		body, err = io.ReadAll(io.LimitReader(source, maxBytes+1))
-		if completeAt = time.Now(); int64(len(body)) > maxBytes {
+		body, err = io.ReadAll(io.LimitReader(source, limit+1))
+		if completeAt = time.Now(); int64(len(body)) > limit {
 			rest = &streamedRequest{bodyPipe: newBodyPipe(), length: -1}
 		} else {
 			control.SetReadDeadline(time.Time{})
--- a/internal/sidecar/sibling_test.go
+++ b/internal/sidecar/sibling_test.go
@@ -178,7 +178,7 @@
 	defer runInLoop(r, func(l *loop) { l.list.current = openWatch{} })
 	want := fmt.Sprintf(`{"version":10,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"a","kind":"","cell":0,"state":"in_service","weight":1,"started_ms":700}],
 		"first":true,"drained":[{"id":"gone","version":9,"started_ms":300}],"by_hand":[],"discovery":%q,"reloaded_ns":5000000000,"following":true}`, discovery)
-	message := fastjson.MustParseBytes((&processGroup{server: r.front}).handoverMessage())
+	message := fastjson.MustParseBytes((&processGroup{server: r.server}).handoverMessage())
 	assert.JSONEq(t, want, string(message.Get("list").MarshalTo(nil)))
 	k, err := r.loop.sharedState(5 * time.Second)
 	require.NoError(t, err)
@@ -199,8 +199,8 @@
 	for n := range groups {
 		sidecars[n] = startSidecar(t, listOf(s), func(c *Config) { withConsole("")(c); c.Discovery = discovery })
 		r := sidecars[n]
-		assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
-		groups[n] = &processGroup{dir: dir, memoryTenth: 10 << 20, server: r.front, listener: r.front.listener.Load().TCPListener, log: zap.NewNop()}
+		assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.server.listener.Load() != nil }, 5*time.Second, time.Millisecond)
+		groups[n] = &processGroup{dir: dir, memoryTenth: 10 << 20, server: r.server, listener: r.server.listener.Load().TCPListener, log: zap.NewNop()}
 		if n > 0 {
 			h, err := requestHandover(dir)
 			require.NoError(t, err)
@@ -233,8 +233,8 @@
 func TestPredecessorListensAgainAfterItsSuccessorDies(t *testing.T) {
 	dir := t.TempDir()
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
-	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
-	predecessor := &processGroup{dir: dir, memoryTenth: 10 << 20, server: r.front, listener: r.front.listener.Load().TCPListener, log: zap.NewNop()}
+	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.server.listener.Load() != nil }, 5*time.Second, time.Millisecond)
+	predecessor := &processGroup{dir: dir, memoryTenth: 10 << 20, server: r.server, listener: r.server.listener.Load().TCPListener, log: zap.NewNop()}
 	require.NoError(t, predecessor.listenForSuccessor(t.Context()))
 	for range 2 {
 		h, err := requestHandover(dir)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -34,11 +34,11 @@
 // running is one sidecar in this process, with the discovery that it asks.
 type testSidecar struct {
 	*testing.T
-	addr  string
-	loop  *loop
-	front *clientServer
-	stop  context.CancelFunc // SIGTERM
-	ended chan error
+	addr   string
+	loop   *loop
+	server *clientServer
+	stop   context.CancelFunc // SIGTERM
+	ended  chan error
 }
 
 func listText(version int, full bool, entries ...string) string {
@@ -70,9 +70,9 @@
 	r := &testSidecar{T: t, addr: ln.Addr().String(), stop: stop, ended: make(chan error, 1)}
 	life, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
-	r.front = s.assemble(life, zap.NewNop())
-	r.loop = r.front.loop
-	go func() { r.ended <- s.serve(ctx, r.front, ln.(*net.TCPListener), nil) }()
+	r.server = s.assemble(life, zap.NewNop())
+	r.loop = r.server.loop
+	go func() { r.ended <- s.serve(ctx, r.server, ln.(*net.TCPListener), nil) }()
 	t.Cleanup(func() {
 		stop()
 		select {
@@ -216,10 +216,10 @@
 		assert.Equal(t, c.status, r.status(c.request), c.name)
 		assert.Less(t, time.Since(began), 5*time.Second, c.name)
 	}
-	assert.Eventually(t, func() bool { return r.front.counters.badInput.Load() == int64(len(cases)) },
+	assert.Eventually(t, func() bool { return r.server.counters.badInput.Load() == int64(len(cases)) },
 		5*time.Second, time.Millisecond, "each is counted")
 	assert.Zero(t, s.requests.Load())
-	assert.Zero(t, r.front.counters.exchanges.Load())
+	assert.Zero(t, r.server.counters.exchanges.Load())
 }
 
 // The same id twice would have its effect twice.
@@ -260,8 +260,8 @@
 	require.NotNil(t, got)
 	assert.Equal(t, 502, got.StatusCode, "nothing that could be taken for an endpoint's answer")
 	<-ended
-	assert.EqualValues(t, 1, r.front.counters.clientsLeft.Load())
-	assert.Eventually(t, func() bool { return r.front.counters.legsByOutcome[logic.Cancelled].Load() == 1 },
+	assert.EqualValues(t, 1, r.server.counters.clientsLeft.Load())
+	assert.Eventually(t, func() bool { return r.server.counters.legsByOutcome[logic.Cancelled].Load() == 1 },
 		5*time.Second, time.Millisecond)
 }
 
@@ -288,7 +288,7 @@
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	slow := newStubEndpoint(t, neverAnswer)
 	r := startSidecar(t, listOf(s), func(s *Config) { s.Sockets = 2 * reservedDescriptors })
-	descriptors, usable := r.front.descriptors, r.front.descriptors.usable
+	descriptors, usable := r.server.descriptors, r.server.descriptors.usable
 	mostInPhase := func(in phase) func() bool {
 		return func() bool {
 			descriptors.mu.Lock()
@@ -319,7 +319,7 @@
 	}
 	eventually(func() bool { // none of them may come behind the next one
 		clients, _ := descriptors.connections()
-		return r.front.counters.clientsShed.Load()+int64(clients) >= int64(2*usable)
+		return r.server.counters.clientsShed.Load()+int64(clients) >= int64(2*usable)
 	}, "all have come")
 	eventually(func() bool { return descriptors.makeClientRoom() }, "the silent give way")
 	served("with silent ones all around")
@@ -355,7 +355,7 @@
 	require.NotNil(t, got)
 	assert.Equal(t, 503, got.StatusCode)
 	assert.True(t, got.Close)
-	assert.Zero(t, r.front.counters.clientsLeft.Load(), "no exchange in hand was cut off")
+	assert.Zero(t, r.server.counters.clientsLeft.Load(), "no exchange in hand was cut off")
 }
 
 // An application may hold a third of the descriptors: those who ask once and stay must leave some to its other requests.
@@ -372,7 +372,7 @@
 			first = c
 		}
 	}
-	left, _ := r.front.descriptors.connections()
+	left, _ := r.server.descriptors.connections()
 	assert.LessOrEqual(t, left, 96/6+1)
 	began := time.Now()
 	first.Read(make([]byte, 1))
@@ -476,11 +476,11 @@
 	}
 	r := startSidecar(t, "null", nil)
 	assert.Eventually(t, func() bool { // as it was, but for a beat that comes late meanwhile
-		r.front.stalls.lastTick.Store(-int64(time.Hour))
+		r.server.stalls.lastTick.Store(-int64(time.Hour))
 		return r.loop.upstream.updatesPending()
 	}, 5*time.Second, time.Millisecond, "legs wait until the news is read")
 	assert.Eventually(t, func() bool { return !r.loop.upstream.updatesPending() }, 5*time.Second, time.Millisecond, "and no longer")
-	f := &clientServer{loop: r.loop, names: r.front.names, products: r.front.products}
+	f := &clientServer{loop: r.loop, names: r.server.names, products: r.server.products}
 	f.stalls.lastTick.Store(-int64(time.Hour))
 	q, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("1", "GET", "look", ""))))
 	require.NoError(t, err)
@@ -500,10 +500,10 @@
 
 func TestRequestsBeyondTheBodyLimitAreRefused(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), nil)
-	r.front.maxBodyBytesTotal = 4
+	r.server.maxBodyBytesTotal = 4
 	assert.Equal(t, 503, r.status(requestText("1", "POST", "buy", "Content-Length: 5\r\n")+"hello"))
 	assert.Equal(t, 200, r.status(requestText("2", "POST", "buy", "Content-Length: 4\r\n")+"hell"))
-	assert.Zero(t, r.front.bodyBytes.Load())
+	assert.Zero(t, r.server.bodyBytes.Load())
 }
 
 // After SIGTERM connections still come, kept ones are used on, and what is held must be finished.
@@ -524,18 +524,18 @@
 	<-s.received
 	<-s.received
 	r.stop()
-	assert.Eventually(t, func() bool { return r.front.shutdownBy.Load() != nil }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return r.server.shutdownBy.Load() != nil }, 5*time.Second, time.Millisecond)
 	for n, c := range []net.Conn{kept, r.dial()} {
 		got, body := r.exchangeWithRetry(c, strings.Replace(requestText(fmt.Sprint("late", n), "GET", "look", ""), "900m", "60000m", 1))
 		require.NotNil(t, got, body)
 		assert.Equal(t, 200, got.StatusCode)
 		assert.True(t, got.Close)
 	}
-	until, past := r.front.shutdownBy.Load(), time.Now()
+	until, past := r.server.shutdownBy.Load(), time.Now()
 	assert.Less(t, r.loop.at(*until)-r.loop.at(time.Now()), logic.Millis(1200), "nobody waits for SIGKILL")
-	r.front.shutdownBy.Store(&past)
+	r.server.shutdownBy.Store(&past)
 	assert.Equal(t, 503, r.status(requestText("over", "GET", "look", "")), "would not be answered before SIGKILL")
-	r.front.shutdownBy.Store(until)
+	r.server.shutdownBy.Store(until)
 	close(release)
 	got, _ = exchangeOn(slow, "")
 	require.NotNil(t, got)
@@ -563,7 +563,7 @@
 	r.loop.post(legEnded{x: x, n: 5})
 	assert.Equal(t, 502, (<-x.answer).status, "in the loop")
 	assert.Equal(t, 200, r.status(requestText("3", "POST", "buy", "Content-Length: 0\r\n")))
-	assert.EqualValues(t, 2, r.front.counters.panics.Load())
+	assert.EqualValues(t, 2, r.server.counters.panics.Load())
 	broken := &clientServer{descriptors: newDescriptorLimiter(100, &Counters{}), counters: &Counters{}, log: zap.NewNop(), loop: r.loop, maxBodyBytesTotal: 1}
 	q, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("4", "GET", "look", ""))))
 	require.NoError(t, err)
@@ -660,7 +660,7 @@
 	}
 	all.Wait()
 	close(stop)
-	c := r.front.counters
+	c := r.server.counters
 	assert.EqualValues(t, 12*12, c.exchanges.Load())
 	assert.EqualValues(t, 12*12, c.succeeded.Load()+c.shed.Load()+c.failed.Load())
 	assert.Zero(t, c.panics.Load()+c.clientsLeft.Load()+r.loop.unanswered.Load())
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -161,44 +161,44 @@
 
 // stream takes an answer that is long, or may be.
 func (k *endpointConn) stream(g *leg, got *http.Response, length int64) (r *reply, body []byte, err error) {
-	p := &undecidedAnswer{bodyPipe: newBodyPipe()}
-	p.unbounded = true
-	r = &reply{header: got.Header, length: length, flow: p.bodyPipe}
-	p.onStart = func() {
+	pending := &undecidedAnswer{bodyPipe: newBodyPipe()}
+	pending.unbounded = true
+	r = &reply{header: got.Header, length: length, flow: pending.bodyPipe}
+	pending.onStart = func() {
 		k.forwarding.Store(true)
 		k.setReadDeadline(g)
 		if g.onAnswerStart != nil {
 			g.onAnswerStart(r)
 		}
 	}
-	stop := g.onCancel(p.discard)
+	stop := g.onCancel(pending.discard)
 	defer stop()
 	if length < 0 && !g.forwardFrom.IsZero() {
-		hurry := time.AfterFunc(time.Until(g.forwardFrom), p.startWhenDue)
-		defer hurry.Stop()
+		startTimer := time.AfterFunc(time.Until(g.forwardFrom), pending.startWhenDue)
+		defer startTimer.Stop()
 	}
-	part, total, from := make([]byte, copyChunkBytes), int64(0), io.Reader(got.Body)
+	chunk, total, source := make([]byte, copyChunkBytes), int64(0), io.Reader(got.Body)
 	if len(got.TransferEncoding) > 0 {
-		from = &chunkedReader{source: k.reader}
+		source = &chunkedReader{source: k.reader}
 	}
 	for err == nil {
 		var n int
-		n, err = from.Read(part)
+		n, err = source.Read(chunk)
 		if total += int64(n); total > maxStreamedBytes {
 			err = errBodyTooLong
 		} else if n > 0 {
-			if e := p.write(part[:n], length > maxBufferedBodyBytes); e != nil {
+			if e := pending.write(chunk[:n], length > maxBufferedBodyBytes); e != nil {
 				err = e
 			}
 		}
 	}
-	if !p.finish() {
+	if !pending.finish() {
 		if err == io.EOF {
-			return nil, p.buffered, nil
+			return nil, pending.buffered, nil
 		}
 		return nil, nil, err
 	}
-	p.close(err)
+	pending.close(err)
 	if err == io.EOF {
 		err = nil
 	}
@@ -216,21 +216,21 @@
 	w.WriteHeader(a.status)
 	var spare []byte
 	for {
-		data, readErr := a.stream.read(spare)
-		if readErr == io.EOF {
+		data, ioErr := a.stream.read(spare)
+		if ioErr == io.EOF {
 			return true, nil
 		}
-		if readErr != nil {
-			return false, readErr
+		if ioErr != nil {
+			return false, ioErr
 		}
 		for rest := data; len(rest) > 0; {
 			chunk := rest[:min(len(rest), copyChunkBytes)]
 			rest = rest[len(chunk):]
 			control.SetWriteDeadline(time.Now().Add(streamStallTimeout))
-			if _, readErr = w.Write(chunk); readErr == nil {
-				readErr = control.Flush()
+			if _, ioErr = w.Write(chunk); ioErr == nil {
+				ioErr = control.Flush()
 			}
-			if readErr != nil {
+			if ioErr != nil {
 				a.stream.discard()
 				return false, nil
 			}
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -89,9 +89,9 @@
 			assert.Error(t, err, "the client can tell")
 			assert.True(t, strings.HasPrefix(long, string(body[:len(long)/2])))
 			assert.EqualValues(t, 1, s.requests.Load(), "never patched up by another")
-			f := &r.front.counters.products[0]
-			assert.Eventually(t, func() bool { return f.failed.Load() == 1 && r.front.activeRequests.Load() == 0 }, 5*time.Second, time.Millisecond)
-			assert.Zero(t, f.succeeded.Load()+r.front.counters.panics.Load())
+			f := &r.server.counters.products[0]
+			assert.Eventually(t, func() bool { return f.failed.Load() == 1 && r.server.activeRequests.Load() == 0 }, 5*time.Second, time.Millisecond)
+			assert.Zero(t, f.succeeded.Load()+r.server.counters.panics.Load())
 			assert.Equal(t, 200, r.status(requestText("2", "GET", "look/none", "")), "the endpoint's next answer begins as well")
 		})
 	}
@@ -115,8 +115,8 @@
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 	<-ended
-	assert.Eventually(t, func() bool { return r.front.activeHandlers.Load()+r.front.bodyBytes.Load() == 0 }, 5*time.Second, time.Millisecond)
-	assert.Eventually(t, func() bool { return r.front.counters.legsByOutcome[logic.Cancelled].Load() == 1 }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return r.server.activeHandlers.Load()+r.server.bodyBytes.Load() == 0 }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return r.server.counters.legsByOutcome[logic.Cancelled].Load() == 1 }, 5*time.Second, time.Millisecond)
 }
 
 // upload sends a request with a long body, in chunks or with its length said, in so many parts.
@@ -159,7 +159,7 @@
 			assert.Equal(t, 200, got.StatusCode)
 			assert.True(t, back == body)
 			assert.EqualValues(t, 1, s.requests.Load())
-			assert.Eventually(t, func() bool { return r.front.activeRequests.Load()+r.front.bodyBytes.Load() == 0 }, 5*time.Second, time.Millisecond)
+			assert.Eventually(t, func() bool { return r.server.activeRequests.Load()+r.server.bodyBytes.Load() == 0 }, 5*time.Second, time.Millisecond)
 		})
 	}
 }
@@ -175,9 +175,9 @@
 		got, body := exchangeOn(c, "")
 		require.NotNil(t, got, body)
 		assert.Equal(t, 400, got.StatusCode)
-		assert.Eventually(t, func() bool { return r.loop.unanswered.Load() == 0 && r.front.activeHandlers.Load() == 0 }, 5*time.Second, time.Millisecond)
+		assert.Eventually(t, func() bool { return r.loop.unanswered.Load() == 0 && r.server.activeHandlers.Load() == 0 }, 5*time.Second, time.Millisecond)
 		assert.Zero(t, s.requests.Load())
-		assert.Zero(t, r.front.counters.products[1].legs.Load())
+		assert.Zero(t, r.server.counters.products[1].legs.Load())
 	})
 	t.Run("the endpoint turns it away in the middle", func(t *testing.T) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -252,7 +252,7 @@
 	for n := range many {
 		r.dial().Write([]byte(requestText(fmt.Sprint(n), "GET", "look", "")))
 	}
-	assert.Eventually(t, func() bool { return r.front.counters.streams.Load()+r.front.counters.shed.Load() >= many }, 10*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return r.server.counters.streams.Load()+r.server.counters.shed.Load() >= many }, 10*time.Second, time.Millisecond)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	t.Log(int64(after.HeapAlloc)-int64(before.HeapAlloc), "bytes for", many)
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -127,13 +127,13 @@
 	const wait, slack = 400 * time.Millisecond, 150 * time.Millisecond
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s), nil)
-	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
-	r.front.listener.Load().setPaused(true)
+	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.server.listener.Load() != nil }, 5*time.Second, time.Millisecond)
+	r.server.listener.Load().setPaused(true)
 	conn := r.dial()
 	defer conn.Close()
 	io.WriteString(conn, "GET /look/x HTTP/1.1\r\nHost: h\r\nRequest-Id: waits\r\nRequest-Class: look\r\nRequest-Timeout: 1000m\r\n\r\n")
 	time.Sleep(wait)
-	r.front.listener.Load().setPaused(false)
+	r.server.listener.Load().setPaused(false)
 	select {
 	case got := <-s.received:
 		sentTimeout, err := time.ParseDuration(got.Header.Get("Request-Timeout") + "s") // m is ms
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -71,7 +71,7 @@
 	r.loop.operatorDrains.RecordListed("gone")
 	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() }, 5*time.Second, time.Millisecond)
 	require.NoError(t, r.loop.operatorDrains.SetDrain(t.Context(), "s0", true))
-	predecessor := &processGroup{dir: dir, memoryTenth: 100 << 20 / 10, server: r.front, listener: listener.(*net.TCPListener), log: zap.NewNop()}
+	predecessor := &processGroup{dir: dir, memoryTenth: 100 << 20 / 10, server: r.server, listener: listener.(*net.TCPListener), log: zap.NewNop()}
 	require.NoError(t, predecessor.listenForSuccessor(t.Context()))
 	h, err := requestHandover(dir)
 	require.NoError(t, err)
@@ -96,7 +96,7 @@
 	line, err := bufio.NewReader(h.conn).ReadString('\n')
 	assert.NoError(t, err)
 	assert.Contains(t, line, `"serves":true`)
-	descriptors := r.front.descriptors
+	descriptors := r.server.descriptors
 	usable := func() int {
 		descriptors.mu.Lock()
 		defer descriptors.mu.Unlock()
@@ -134,14 +134,14 @@
 		s.Discovery = d.Addr().String()
 	})
 	<-d.received // the first call is open
-	r.front.pair = &processGroup{server: r.front, tookOver: true, startedAt: time.Now()}
-	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.accepting.Load() }, 5*time.Second, time.Millisecond)
-	assert.False(t, r.front.servesAlone())
-	r.front.pair.startedAt = time.Now().Add(-maxOwnWatchWait)
-	assert.True(t, r.front.servesAlone())
-	r.front.pair.startedAt = time.Now()
+	r.server.pair = &processGroup{server: r.server, tookOver: true, startedAt: time.Now()}
+	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.server.accepting.Load() }, 5*time.Second, time.Millisecond)
+	assert.False(t, r.server.servesAlone())
+	r.server.pair.startedAt = time.Now().Add(-maxOwnWatchWait)
+	assert.True(t, r.server.servesAlone())
+	r.server.pair.startedAt = time.Now()
 	r.loop.post(listReceived{endpointList: endpointList{version: 2}, call: 1})
-	assert.Eventually(t, r.front.servesAlone, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, r.server.servesAlone, 5*time.Second, time.Millisecond)
 }
 
 // A drain of which the old process is notified after it has handed over its list is not known to the new process, which sent
@@ -155,21 +155,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
-			assert.Eventually(t, func() bool { return r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
+			assert.Eventually(t, func() bool { return r.server.listener.Load() != nil }, 5*time.Second, time.Millisecond)
 			r.loop.watchHeard.Store(false)
-			p := &processGroup{server: r.front, memoryTenth: 10 << 20, log: zap.NewNop(), tookOver: true, startedAt: time.Now()}
+			p := &processGroup{server: r.server, memoryTenth: 10 << 20, log: zap.NewNop(), tookOver: true, startedAt: time.Now()}
 			if name == "maxOwnWatchWait is over" {
 				confirm(r, p)
 			}
 			p.acceptWhenListConfirmed(t.Context())
 			if name != "maxOwnWatchWait is over" {
 				time.Sleep(3 * updateInterval)
-				assert.True(t, r.front.listener.Load().isPaused(), "the old process accepts the clients")
+				assert.True(t, r.server.listener.Load().isPaused(), "the old process accepts the clients")
 				p.setPaused(false) // as after an update from the old process
-				assert.True(t, r.front.listener.Load().isPaused())
+				assert.True(t, r.server.listener.Load().isPaused())
 				confirm(r, p)
 			}
-			assert.Eventually(t, func() bool { return !r.front.listener.Load().isPaused() }, 5*time.Second, time.Millisecond)
+			assert.Eventually(t, func() bool { return !r.server.listener.Load().isPaused() }, 5*time.Second, time.Millisecond)
 		})
 	}
 }
@@ -179,31 +179,31 @@
 func TestNotReadyWhileThePredecessorHasTransfers(t *testing.T) {
 	dir := t.TempDir()
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(dir))
-	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.front.listener.Load() != nil }, 5*time.Second, time.Millisecond)
-	listener := r.front.listener.Load()
-	predecessor := &processGroup{dir: dir, memoryTenth: 10 << 20, server: r.front, listener: listener.TCPListener, log: zap.NewNop()}
+	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.server.listener.Load() != nil }, 5*time.Second, time.Millisecond)
+	listener := r.server.listener.Load()
+	predecessor := &processGroup{dir: dir, memoryTenth: 10 << 20, server: r.server, listener: listener.TCPListener, log: zap.NewNop()}
 	require.NoError(t, predecessor.listenForSuccessor(t.Context()))
-	r.front.transfers.Add(1)
+	r.server.transfers.Add(1)
 	h, err := requestHandover(dir)
 	require.NoError(t, err)
 	defer h.listener.Close()
 	successor := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), withConsole(""))
-	p := &processGroup{dir: dir, memoryTenth: 10 << 20, server: successor.front, log: zap.NewNop(), tookOver: true, startedAt: time.Now()}
+	p := &processGroup{dir: dir, memoryTenth: 10 << 20, server: successor.server, log: zap.NewNop(), tookOver: true, startedAt: time.Now()}
 	p.predecessorTransfers.Store(-1)
 	successor.loop.watchHeard.Store(true)
-	assert.Eventually(t, successor.front.servesAlone, 5*time.Second, time.Millisecond, "ready without a predecessor")
+	assert.Eventually(t, successor.server.servesAlone, 5*time.Second, time.Millisecond, "ready without a predecessor")
 	done := make(chan bool)
 	successor.loop.post(loopFunc(func(*loop) { close(done) }))
 	<-done
-	successor.front.pair = p
+	successor.server.pair = p
 	go p.runSibling(t.Context(), h.conn, h.reader, false)
 	assert.Eventually(t, listener.isPaused, 5*time.Second, time.Millisecond, "the old process no longer accepts clients")
 	assert.Eventually(t, func() bool { return p.predecessorTransfers.Load() == 1 }, 5*time.Second, time.Millisecond)
-	assert.False(t, successor.front.servesAlone(), "not while the old process has a transfer")
+	assert.False(t, successor.server.servesAlone(), "not while the old process has a transfer")
 	c := r.dial() // it waits in the accept queue that both processes share
 	c.Write([]byte(requestText("1", "GET", "look", "")))
-	r.front.transfers.Add(-1)
-	assert.Eventually(t, successor.front.servesAlone, 5*time.Second, time.Millisecond)
+	r.server.transfers.Add(-1)
+	assert.Eventually(t, successor.server.servesAlone, 5*time.Second, time.Millisecond)
 	assert.True(t, predecessor.successorReady())
 	p.startedAt = time.Now().Add(-maxTransferWait)
 	p.predecessorTransfers.Store(7)
