--- a/internal/sidecar/accept.go
+++ b/internal/sidecar/accept.go
@@ -1,6 +1,7 @@
-// Accept: what is done when a listener's accept fails. Linux passes errors of the network that lie on a new connection through
-// accept, and fails it where descriptors or socket memory are short for a moment. net/http ends a server, and with it all that it
-// holds, at those that Go does not call temporary; here all are tried again until the listener is closed.
+// This file handles errors of accept. Linux returns pending network errors of a new connection from accept, and lets accept
+// fail while descriptors or socket memory are short for a moment. At errors that Go does not consider temporary, net/http
+// ends the server with all its connections; here every error is retried until the listener is closed.
+
 package sidecar
 
 import (
@@ -11,30 +12,30 @@
 	"go.uber.org/zap"
 )
 
-// acceptPauseFirst is the pause behind the first of several errors of accept, doubled with each up to acceptPauseMost.
+// The back-off between retries of accept begins with minAcceptPause and doubles with each error up to maxAcceptPause.
 const (
 	minAcceptPause = 2 * time.Millisecond
 	maxAcceptPause = 100 * time.Millisecond
 )
 
-// acceptRetry is a series of errors of accept.
+// acceptRetry is the back-off over consecutive errors of accept.
 type acceptRetry struct {
 	counters  *Counters
 	log       *zap.Logger
-	lastPause time.Duration // of the last error; 0 for none yet
+	lastPause time.Duration // after the last error; 0 before the first
 }
 
-// wait notes an error and returns when accept may be tried again. The first of a series is logged.
+// wait counts an error and returns when accept may be retried. The first error of a series is logged.
 func (r *acceptRetry) wait(err error) {
 	r.counters.acceptErrors.Add(1)
 	if r.lastPause == 0 {
-		r.log.Warn("a connection could not be accepted", zap.Error(err))
+		r.log.Warn("accept failed; retrying until the listener is closed", zap.Error(err))
 	}
 	r.lastPause = min(max(2*r.lastPause, minAcceptPause), maxAcceptPause)
 	time.Sleep(r.lastPause)
 }
 
-// acceptUntilClosed accepts from a listener; its error is that the listener is closed.
+// acceptUntilClosed accepts a connection from ln and retries on errors. It returns an error only once ln is closed.
 func acceptUntilClosed(ln net.Listener, counters *Counters, log *zap.Logger) (net.Conn, error) {
 	retry := acceptRetry{counters: counters, log: log}
 	for {
--- a/internal/sidecar/client.go
+++ b/internal/sidecar/client.go
@@ -1,6 +1,7 @@
-// Client: connections of clients. This file owns how a request's bytes are let through to net/http, which
-// connections give way when descriptors are short, and the framing of heads. It must never let through a byte of which
-// it is not sure to which request it belongs, nor close a connection on which an exchange is in hand.
+// This file owns clients' connections: how a request's bytes are passed to net/http, the phase by which a connection may be
+// evicted when descriptors run short, and the framing of heads. It must never pass on a byte that can't be attributed to
+// one request, nor close a connection on which an exchange is in progress.
+
 package sidecar
 
 import (
@@ -16,52 +17,59 @@
 )
 
 const (
-	clientIdleTimeout  = 2 * time.Second        // no less is allowed; clients may hold a third of our descriptors, kept ones too
-	maxReadAheadBytes  = 16 << 10               // bytes read ahead behind a request in hand, for its client's leaving
-	closePollInterval  = 100 * time.Millisecond // between two looks for a client's leaving where no more is read ahead
-	refusedReadTimeout = 400 * time.Millisecond // for what is left of a request that is not taken
-	initialHeadBytes   = 1 << 10                // bytes: room for a usual head
-	headSlackBytes     = 6 << 10                // beyond headMost, so that net/http is sure to find a head too long
+	// The minimum that is allowed: clients may hold a third of the process's descriptors, idle connections included.
+	clientIdleTimeout = 2 * time.Second
+	// Read ahead after a request in progress, to notice that its client leaves.
+	maxReadAheadBytes = 16 << 10
+	// Between two checks whether a client has left, once no more is read ahead.
+	closePollInterval = 100 * time.Millisecond
+	// For the rest of a request that is refused.
+	refusedReadTimeout = 400 * time.Millisecond
+	// Enough for a typical head.
+	initialHeadBytes = 1 << 10
+	// Passed on beyond the limit of a head, so that net/http certainly finds the head too long.
+	headSlackBytes = 6 << 10
 )
 
-// phase is what a connection of a client does.
+// phase is the state of a client's connection.
 type phase int32
 
 const (
-	phaseFresh   phase = iota // nothing was heard on it
-	phaseReading              // part of a request
-	phaseBusy                 // a whole request, or its exchange is in hand
+	phaseFresh   phase = iota // nothing has arrived yet
+	phaseReading              // part of a request has arrived
+	phaseBusy                 // a whole request has arrived, or its exchange is in progress
 	phaseIdle                 // between two requests
-	phaseEvicted              // closed to make room
+	phaseEvicted              // closed to free its descriptor
 )
 
-// client is one accepted connection. Net/http reads from it one request's bytes at a time: a head once it has come whole
-// and its framing is sound, then just the body that it announced.
+// clientConn is one accepted connection. Net/http reads the bytes of one request at a time from it: a head once it is
+// complete and its framing is valid, then just the body that it announced.
 type clientConn struct {
 	*net.TCPConn
 	descriptors    *descriptorLimiter
-	overLimit      bool // beyond the limit: read, answered 503 and closed
-	handlerStarted bool // a handler has seen its present request
-	reused         bool // it had an answer already
+	overLimit      bool // it exceeds the descriptor limit: its request is read, answered 503, and it is closed
+	handlerStarted bool // a handler has been called for the current request
+	reused         bool // an earlier request on it has been answered
 	phase          atomic.Int32
-	phaseSince     atomic.Int64 // of the phase: nanoseconds since sockets began
+	phaseSince     atomic.Int64 // start of the phase, in nanoseconds since descriptors.startedAt
 	readDeadline   time.Time
 	closed         atomic.Bool
 
-	buf           []byte // read and not handed on
-	readable      int    // of it, what may be handed on
-	bodyLeft      int64  // of the present request, still to be read
-	requestPassed bool   // the present request was let through: what comes behind it waits for its end
-	lastRequest   bool   // all further bytes belong to the present request, behind which the connection is closed
+	buf           []byte // read from the connection and not passed on
+	readable      int    // bytes at the start of buf that may be passed on
+	bodyLeft      int64  // bytes of the current request's body that are still to be read
+	requestPassed bool   // the current request was passed on: what follows it waits until it is answered
+	lastRequest   bool   // all further bytes belong to the current request, after which the connection is closed
 	readErr       error
-	bodyEndRead   atomic.Bool   // of such a request in chunks, the end was read
-	watchStopped  atomic.Bool   // net/http ends its watch
-	wakeWatch     chan struct{} // tells so
+	bodyEndRead   atomic.Bool   // the end of the current request's body was read; matters with lastRequest only
+	watchStopped  atomic.Bool   // net/http wants its background read to end
+	wakeWatch     chan struct{} // signals watchStopped to pollForClose
 	raw           syscall.RawConn
-	deferredFor   time.Duration // how long it had said nothing when it was accepted, where the listener defers those that don't
-	lastReceived  atomic.Int64  // when the last bytes that were read had come: nanoseconds since sockets began
+	deferredFor   time.Duration // silence before it was accepted, where the kernel holds back connections without data
+	lastReceived  atomic.Int64  // arrival of the last bytes that were read, in nanoseconds since descriptors.startedAt
 }
 
+// newClientConn wraps an accepted connection and counts it against the descriptor limit.
 func newClientConn(conn *net.TCPConn, s *descriptorLimiter) *clientConn {
 	c := &clientConn{TCPConn: conn, descriptors: s, wakeWatch: make(chan struct{}, 1)}
 	c.raw, _ = conn.SyscallConn()
@@ -70,15 +78,15 @@
 	return c
 }
 
-// refuseUnread answers a request that has not come whole before its connection gives way.
+// refuseIncomplete answers a request that has not arrived whole, before its connection is evicted.
 func (c *clientConn) refuseIncomplete() {
 	c.TCPConn.SetWriteDeadline(time.Now().Add(time.Millisecond))
 	c.TCPConn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\n" +
 		"Retry-After: " + defaultRetryAfterSeconds + "\r\nContent-Length: 0\r\n\r\n"))
 }
 
-// Close ends the connection. With bytes unread the kernel would reset it, and what the client has not read of its answer
-// would be lost: they are read for a while first.
+// Close closes the connection. If bytes are unread, closing would make the kernel reset the connection, and the client would
+// lose the part of its answer that it has not read: those bytes are read for a while first.
 func (c *clientConn) Close() error {
 	if !c.closed.CompareAndSwap(false, true) {
 		return nil
@@ -97,7 +105,7 @@
 	return nil
 }
 
-// become enters a phase, unless the connection has to give way.
+// enterPhase enters a phase. It returns false if the connection has been evicted.
 func (c *clientConn) enterPhase(next phase) bool {
 	for {
 		current := phase(c.phase.Load())
@@ -114,8 +122,8 @@
 	}
 }
 
-// SetReadDeadline remembers until when the present request must have come. One beyond the limit has little time, and the time of one
-// that was silent before it was accepted began then.
+// SetReadDeadline also records the deadline by which the current request must have arrived. A connection over the limit gets
+// little time, and the time that a connection was silent before it was accepted counts against its first deadline.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	if c.deferredFor > 0 && !t.IsZero() && phase(c.phase.Load()) == phaseFresh {
 		t = t.Add(-c.deferredFor)
@@ -136,6 +144,7 @@
 	return err
 }
 
+// Read returns bytes of the current request only.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	for c.readable == 0 {
 		if c.readErr != nil {
@@ -159,13 +168,13 @@
 	n = copy(p, c.buf[:c.readable])
 	c.buf = append(c.buf[:0], c.buf[n:]...)
 	if c.readable -= n; len(c.buf) == 0 && cap(c.buf) > initialHeadBytes {
-		c.buf = nil // a long head's room is not kept as long as the connection
+		c.buf = nil // the memory of a long head is not kept for the life of the connection
 	}
 	return n, nil
 }
 
-// receive reads, and notes when what it read had come: it may have waited in the kernel, with its connection to be accepted or while
-// the process stood still, and its client's time has run on.
+// receive reads, and records when the data arrived: it may have waited in the kernel, until its connection was accepted or
+// while the process was stalled, and its client's timeout has been running meanwhile.
 func (c *clientConn) receive(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if n > 0 {
@@ -174,12 +183,12 @@
 	return n, err
 }
 
-// cameBy is when the last bytes that were read had come.
+// lastReceivedAt returns when the last bytes that were read had arrived.
 func (c *clientConn) lastReceivedAt() time.Time {
 	return c.descriptors.startedAt.Add(time.Duration(c.lastReceived.Load()))
 }
 
-// earlier is the earlier of a time and of when the last bytes had come. c may be nil.
+// earlierReceipt returns the earlier of t and the arrival of the last bytes that were read. c may be nil.
 func (c *clientConn) earlierReceipt(t time.Time) time.Time {
 	if c != nil {
 		if received := c.lastReceivedAt(); received.Before(t) {
@@ -190,18 +199,19 @@
 }
 
 var (
-	errFraming     = errors.New("lengths that are wrong, or that may hide another request")
-	errNotHTTP     = errors.New("not a request")
-	errHeadTimeout = errors.New("the head did not come in time")
+	errFraming     = errors.New("invalid or ambiguous message framing (Content-Length, Transfer-Encoding, folded header)")
+	errNotHTTP     = errors.New("not an HTTP request: it does not begin with a method")
+	errHeadTimeout = errors.New("request head incomplete at the read deadline")
 )
 
-// watch reads on behind a request that has come whole, so that its client's leaving is seen whatever stands before it:
-// net/http's own watch ends with the first byte. What is asked next waits here until the present answer is written; of a
-// client that has left none of it is let through. Beyond what is kept nothing is read, and the kernel is asked now and then.
+// watchForClose reads on after a request that has arrived whole, so that the client's close is noticed whatever it sent
+// before: net/http's own background read ends with the first byte. A pipelined request waits in buf until the current answer
+// is written, and is not passed on if the client has left. Once maxReadAheadBytes are buffered nothing more is read, and the
+// kernel is polled instead.
 func (c *clientConn) watchForClose() error {
 	for {
 		if c.lastRequest {
-			c.buf = c.buf[:0] // behind chunks: the connection is closed after the answer
+			c.buf = c.buf[:0] // after a chunked body the connection is closed with the answer
 		}
 		if len(c.buf) >= maxReadAheadBytes {
 			if err := c.pollForClose(); err != nil {
@@ -215,7 +225,7 @@
 		n, err := c.receive(c.buf[len(c.buf):cap(c.buf)])
 		c.buf = c.buf[:len(c.buf)+n]
 		if err != nil {
-			if !errors.Is(err, os.ErrDeadlineExceeded) { // which is net/http's way to end its watch
+			if !errors.Is(err, os.ErrDeadlineExceeded) { // a deadline in the past is how net/http ends its background read
 				c.readErr, c.buf = err, nil
 			}
 			return err
@@ -223,6 +233,8 @@
 	}
 }
 
+// pollForClose checks whether the client has closed the connection, without reading from it, and then waits for
+// closePollInterval.
 func (c *clientConn) pollForClose() error {
 	switch {
 	case c.watchStopped.Load():
@@ -238,7 +250,7 @@
 	return nil
 }
 
-// next reads until a head has come whole. Net/http answers a fault with 400 if it stands behind part of a head.
+// readHead reads until a head is complete. Net/http answers a read error with 400 if part of a head precedes it.
 func (c *clientConn) readHead() error {
 	for {
 		if blank := len(c.buf) - len(bytes.TrimLeft(c.buf, "\r\n")); blank > 0 {
@@ -265,10 +277,10 @@
 		case n > 0 && !c.enterPhase(phaseReading):
 			return os.ErrClosed
 		case n > 0 && before == 0 && c.reused:
-			c.SetReadDeadline(time.Now().Add(headReadTimeout)) // not what is left of the time for idle ones
+			c.SetReadDeadline(time.Now().Add(headReadTimeout)) // the remaining idle time may be shorter
 		case n > 0:
 		case timedOut && before == 0 && c.peekState() == connUnread:
-			c.SetReadDeadline(time.Now().Add(headReadTimeout)) // it came in time: we did not look
+			c.SetReadDeadline(time.Now().Add(headReadTimeout)) // it arrived in time and was not read: the process may have been stalled
 		case timedOut && before > 0:
 			return c.failRead(errHeadTimeout)
 		default:
@@ -277,6 +289,7 @@
 	}
 }
 
+// failRead makes reading end with err, after so much of the buffer that net/http answers 400 without finding a whole head.
 func (c *clientConn) failRead(err error) error {
 	c.readErr, c.readable = err, len(c.buf)
 	if c.readable == 0 || bytes.IndexByte(c.buf, '\n') >= 0 && headEnd(c.buf) > 0 {
@@ -285,7 +298,7 @@
 	return nil
 }
 
-// judge lets a whole head through, with as much of its body as is there.
+// passHead passes on a complete head if its framing is valid, with as much of its body as is buffered.
 func (c *clientConn) passHead(end int) error {
 	length, chunked, err := parseFraming(c.buf[:end])
 	if err != nil {
@@ -293,15 +306,16 @@
 	}
 	c.bodyLeft = max(length, 0)
 	buffered := min(int64(len(c.buf)-end), c.bodyLeft)
-	nextPhase := phaseReading // what was read ahead was never looked at by who makes room
+	nextPhase := phaseReading // until now eviction could not see a request that was read ahead
 	if c.bodyLeft == buffered && !chunked {
-		nextPhase = phaseBusy // it came whole: its handler may have to wait for a core, and its connection is not silent meanwhile
+		// It is whole: its handler may have to wait for CPU, and the connection must not be evicted as silent meanwhile.
+		nextPhase = phaseBusy
 	}
 	if !c.enterPhase(nextPhase) {
 		return os.ErrClosed
 	}
 	c.requestPassed = true
-	c.bodyEndRead.Store(false) // it may stand from the request before
+	c.bodyEndRead.Store(false) // it may still be set from the request before
 	if c.lastRequest = chunked; chunked {
 		c.readable, c.bodyLeft = len(c.buf), 0
 		return nil
@@ -310,7 +324,7 @@
 	return nil
 }
 
-// startsRequest tells noise from a method's first letters.
+// mayStartRequest reports whether b, the beginning of a message, may be a method in capital letters and a space.
 func mayStartRequest(b []byte) bool {
 	for n, letter := range b[:min(len(b), 16)] {
 		if letter == ' ' && n > 0 {
@@ -323,7 +337,7 @@
 	return len(b) < 16
 }
 
-// headEnd is where the body begins; 0 while the head has not come whole.
+// headEnd returns the length of the head, including its empty line; 0 if the head is incomplete.
 func headEnd(b []byte) int {
 	for at := 0; ; {
 		n := bytes.IndexByte(b[at:], '\n')
@@ -340,8 +354,9 @@
 	}
 }
 
-// framing reads how a head says its body's length; -1 if it says none. Libraries pass over what is in conflict, and what
-// stood in the body is then read as the next message: it is refused here, for requests and answers alike.
+// parseFraming returns the body's length by its head, -1 if the head states none, and whether the body is chunked. HTTP
+// libraries differ in how they resolve conflicting lengths, and what one reads as body another reads as the next message.
+// Such heads are refused here, for requests and answers alike.
 func parseFraming(head []byte) (length int64, chunked bool, err error) {
 	length = -1
 	_, rest, _ := bytes.Cut(head, []byte("\n"))
@@ -349,7 +364,7 @@
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, []byte("\n"))
 		if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
-			return 0, false, errFraming // the line before goes on here: another reader may see another header
+			return 0, false, errFraming // a folded header: another parser may read it as a header of its own
 		}
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		switch value = bytes.TrimSpace(value); {
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -20,16 +20,17 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// Two events that cross, each test of this file in the bad order and in no other: docs/crossings.md has the table.
+// Each test of this file forces one race of two events into its bad order, and into no other: docs/crossings.md has the table.
 
-// halt stops the loop and returns when it stands: it has taken all that was queued before, the list of its start too.
+// stopLoop stops the event loop and returns once it has handled all that was queued before, including the list at the start.
 func (r *testSidecar) stopLoop() (resume func()) {
 	reached, resume := r.stopLoopBehindQueue()
 	<-reached
 	return resume
 }
 
-// haltBehind stops the loop at this place of its queue, behind what is queued already, until it is let go.
+// stopLoopBehindQueue queues a stop of the event loop behind what is queued already. reached is closed when the loop stops
+// there; resume waits for that and lets it go on.
 func (r *testSidecar) stopLoopBehindQueue() (reached chan bool, resume func()) {
 	gate, reached := make(chan bool), make(chan bool)
 	r.loop.post(loopFunc(func(*loop) {
@@ -39,11 +40,12 @@
 	return reached, func() { <-reached; close(gate) }
 }
 
+// eventually waits until f is true, and fails the test after 10 s.
 func eventually(t *testing.T, why string, f func() bool) {
 	require.Eventually(t, f, 10*time.Second, time.Millisecond, why)
 }
 
-// gatedDial holds the nth connection between its coming up and its use, whatever becomes of its leg meanwhile.
+// holdDial holds the nth connection to an endpoint between its connect and its use, even if its leg is cancelled meanwhile.
 func (r *testSidecar) holdDial(nth int64) (dialled chan bool, resume func()) {
 	dialled, gate, plain, n := make(chan bool, 1), make(chan bool), r.loop.upstream.dial, atomic.Int64{}
 	r.loop.upstream.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -58,7 +60,7 @@
 	return dialled, func() { close(gate) }
 }
 
-// leave ends a client's connection in one of the ways in which clients leave.
+// closeClient closes a client's connection with a FIN or, if how is RST, with a reset.
 func closeClient(c net.Conn, how string) {
 	if how == "RST" {
 		c.(*net.TCPConn).SetLinger(0)
@@ -66,19 +68,19 @@
 	c.Close()
 }
 
-// A client that leaves while its leg's connection comes up is never sent on, whether legs may be cancelled or not, and
-// whatever stands unread between its request and its end.
+// If a client leaves while its leg is dialling, its request is never sent, whether legs may be cancelled or not, and whatever
+// is unread between the request and the end of the connection.
 func TestClientLeavesWhileItsLegDials(t *testing.T) {
 	next := requestText("next", "GET", "look", "")
 	for _, c := range []struct{ name, request, behind string }{
-		{"nothing behind", requestText("1", "GET", "look", ""), ""},
+		{"nothing after it", requestText("1", "GET", "look", ""), ""},
 		{"single-use", requestText("1", "POST", "buy", "Content-Length: 2\r\n") + "ab", ""},
-		{"another request behind", requestText("1", "GET", "look", ""), next},
-		{"half of one", requestText("1", "GET", "look", ""), next[:20]},
-		{"more than is kept", requestText("1", "GET", "look", ""), strings.Repeat(next, 1000)},
-		{"noise behind", requestText("1", "POST", "buy", "Content-Length: 2\r\n") + "ab", "\x00\x01\r\n\r\n"},
-		{"in chunks", requestText("1", "POST", "buy", "Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n", ""},
-		{"in chunks, another behind", requestText("1", "POST", "buy", "Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n", next},
+		{"another request after it", requestText("1", "GET", "look", ""), next},
+		{"half a request after it", requestText("1", "GET", "look", ""), next[:20]},
+		{"more than is read ahead", requestText("1", "GET", "look", ""), strings.Repeat(next, 1000)},
+		{"invalid bytes after it", requestText("1", "POST", "buy", "Content-Length: 2\r\n") + "ab", "\x00\x01\r\n\r\n"},
+		{"chunked", requestText("1", "POST", "buy", "Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n", ""},
+		{"chunked, another request after it", requestText("1", "POST", "buy", "Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n", next},
 	} {
 		for _, how := range []string{"FIN", "RST"} {
 			for _, mayCancel := range []bool{true, false} {
@@ -91,37 +93,37 @@
 					conn.Write([]byte(c.request + c.behind))
 					<-dialled
 					closeClient(conn, how)
-					if c.name != "in chunks, another behind" { // whose end is seen by the look before the first byte only
-						eventually(t, "its leaving is known at once", func() bool { return r.server.counters.clientsLeft.Load() == 1 })
+					if c.name != "chunked, another request after it" { // its end is noticed only by the check before the first byte
+						eventually(t, "the close is noticed at once", func() bool { return r.server.counters.clientsLeft.Load() == 1 })
 					} else {
-						eventually(t, "it has come", func() bool {
+						eventually(t, "the close has arrived", func() bool {
 							return r.server.counters.clientsLeft.Load() == 1 || r.onlyClient().peekState() == connEnded
 						})
 					}
 					resume()
-					eventually(t, "it is over", func() bool { return r.loop.unanswered.Load()+r.server.activeHandlers.Load() == 0 })
-					eventually(t, "and its leg too", func() bool { return r.openExchanges() == 0 })
-					assert.Zero(t, s.requests.Load(), "never sent on")
+					eventually(t, "the exchange is finished", func() bool { return r.loop.unanswered.Load()+r.server.activeHandlers.Load() == 0 })
+					eventually(t, "its leg has ended too", func() bool { return r.openExchanges() == 0 })
+					assert.Zero(t, s.requests.Load(), "never sent to an endpoint")
 					assert.EqualValues(t, 1, r.server.counters.clientsLeft.Load())
-					assert.EqualValues(t, 1, r.server.counters.exchanges.Load(), "nor what stood behind")
+					assert.EqualValues(t, 1, r.server.counters.exchanges.Load(), "the request after it is not taken")
 				})
 			}
 		}
 	}
 }
 
-// A long request whose client has sent all of it and left while its leg dials: the rest stands in the kernel's buffer, before
-// the end, and would be sent on whole.
+// A client sends all of a long request and leaves while its leg is dialling. The rest of the request is in the kernel's buffer,
+// before the end of the connection, and could be sent on whole: it must not be.
 func TestClientOfALongRequestLeavesWhileItsLegDials(t *testing.T) {
 	for _, c := range []struct{ name, head, end string }{
-		{"of a length", "Content-Length: 81920\r\n", ""},
-		{"in chunks", "Transfer-Encoding: chunked\r\n", "\r\n0\r\n\r\n"},
+		{"with length", "Content-Length: 81920\r\n", ""},
+		{"chunked", "Transfer-Encoding: chunked\r\n", "\r\n0\r\n\r\n"},
 	} {
 		for _, how := range []string{"FIN", "RST"} {
 			t.Run(fmt.Sprint(c.name, how), func(t *testing.T) {
 				t.Parallel()
 				s := newStubEndpoint(t, respondWith(okResponse, true))
-				r := startSidecar(t, listOf(s), func(s *Config) { s.MemoryMB = 1 }) // what is longer than 64 KiB flows
+				r := startSidecar(t, listOf(s), func(s *Config) { s.MemoryMB = 1 }) // requests above 64 KiB are streamed
 				dialled, resume := r.holdDial(1)
 				conn := r.dial().(*net.TCPConn)
 				conn.SetWriteBuffer(1 << 20)
@@ -137,50 +139,51 @@
 				<-dialled
 				require.NoError(t, <-sent)
 				closeClient(conn, how)
-				eventually(t, "its end has come", func() bool {
+				eventually(t, "the close has arrived", func() bool {
 					n := r.server.counters
 					return n.badInput.Load()+n.clientsLeft.Load() == 1 || r.onlyClient().peekState() == connEnded
 				})
 				resume()
-				eventually(t, "it is over", func() bool { return r.loop.unanswered.Load()+r.server.activeHandlers.Load() == 0 })
-				eventually(t, "and its leg too", func() bool { return r.openExchanges() == 0 })
-				assert.Zero(t, s.requests.Load(), "never sent on")
+				eventually(t, "the exchange is finished", func() bool { return r.loop.unanswered.Load()+r.server.activeHandlers.Load() == 0 })
+				eventually(t, "its leg has ended too", func() bool { return r.openExchanges() == 0 })
+				assert.Zero(t, s.requests.Load(), "never sent to an endpoint")
 			})
 		}
 	}
 }
 
-// patient gives all clients a minute: what happens in these tests waits for no clock.
+// withLongTimeouts gives all products an abandon time of a minute, so that no timeout decides these tests.
 func withLongTimeouts(s *Config) {
 	for n := range s.terms.Products {
 		s.terms.Products[n].Abandon, s.terms.Products[n].Expected = 60000, 50000
 	}
 }
 
-// theOne is the only connection of a client.
+// onlyClient returns the only client's connection.
 func (r *testSidecar) onlyClient() *clientConn {
 	r.server.descriptors.mu.Lock()
 	defer r.server.descriptors.mu.Unlock()
 	for c := range r.server.descriptors.clients {
 		return c
 	}
-	return &clientConn{} // it is gone
+	return &clientConn{} // it is closed
 }
 
+// openExchanges returns how many exchanges the event loop holds.
 func (r *testSidecar) openExchanges() int {
 	n := make(chan int)
 	r.loop.post(loopFunc(func(l *loop) { n <- len(l.exchanges) }))
 	return <-n
 }
 
-// The same with a further leg and with a copy: what the first became does not matter.
+// If a client leaves while a further leg is dialling, that leg is not sent, however the first one ended.
 func TestClientLeavesWhileAFurtherLegDials(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		first func(net.Conn, *http.Request) bool
 	}{
-		{"another try", respondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false)},
-		{"after it was turned away", respondWith("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", false)},
+		{"after an error", respondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false)},
+		{"after a refusal", respondWith("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", false)},
 		{"after a reset", resetConn},
 	} {
 		for _, mayCancel := range []bool{true, false} {
@@ -193,17 +196,17 @@
 				conn.Write([]byte(requestText("1", "GET", "look", "")))
 				<-dialled
 				closeClient(conn, "FIN")
-				eventually(t, "its leaving is known", func() bool { return r.server.counters.clientsLeft.Load() == 1 })
+				eventually(t, "the close is noticed", func() bool { return r.server.counters.clientsLeft.Load() == 1 })
 				resume()
-				eventually(t, "it is over", func() bool { return r.openExchanges() == 0 })
-				assert.EqualValues(t, 1, s.requests.Load(), "the first only")
+				eventually(t, "the exchange is finished", func() bool { return r.openExchanges() == 0 })
+				assert.EqualValues(t, 1, s.requests.Load(), "the first leg only")
 			})
 		}
 	}
 }
 
-// The loop hears of an exchange and has not yet heard that its client has left: its leg finds that out by itself. So it is
-// in a process that stood still, where request and end are read in one go.
+// The loop handles an exchange before it is notified that its client has left: the leg must notice that itself. This happens
+// after a stall of the process, when the request and the end of its connection are read at once.
 func TestClientLeftBeforeTheLoopKnows(t *testing.T) {
 	for _, how := range []string{"FIN", "RST"} {
 		s := newStubEndpoint(t, respondWith(okResponse, true))
@@ -211,27 +214,27 @@
 		resumeFirst := r.stopLoop()
 		conn := r.dial()
 		conn.Write([]byte(strings.Replace(requestText("1", "GET", "look", ""), "900m", "60000m", 1)))
-		eventually(t, "it is queued", func() bool { return len(r.loop.queue) == 1 })
+		eventually(t, "the exchange is queued", func() bool { return len(r.loop.queue) == 1 })
 		_, resumeSecond := r.stopLoopBehindQueue()
 		closeClient(conn, how)
-		eventually(t, "its leaving is queued behind", func() bool { return len(r.loop.queue) == 3 })
-		resumeFirst() // the exchange is sent, the leaving is not heard of
+		eventually(t, "the close is queued behind it", func() bool { return len(r.loop.queue) == 3 })
+		resumeFirst() // the exchange is handled, the close is not
 		eventually(t, "the leg has ended", func() bool { return len(r.loop.queue) >= 2 && r.upstreamConnections() == 0 })
 		resumeSecond()
-		eventually(t, "it is over", func() bool { return r.openExchanges() == 0 && r.server.activeHandlers.Load() == 0 })
+		eventually(t, "the exchange is finished", func() bool { return r.openExchanges() == 0 && r.server.activeHandlers.Load() == 0 })
 		assert.Zero(t, s.requests.Load())
 		assert.EqualValues(t, 1, r.server.counters.clientsLeft.Load())
 	}
 }
 
-// legsBegun counts connections to endpoints that are in use or idle.
+// upstreamConnections counts connections to endpoints that are in use or idle.
 func (r *testSidecar) upstreamConnections() int {
 	_, n := r.server.descriptors.connections()
 	return n
 }
 
-// An answer that wins while another leg still dials: the exchange is over, and what begins after that would be sent for nobody,
-// whether legs may be cancelled or not.
+// If a leg's answer arrives while a hedge is still dialling, the exchange is finished, and the hedge must not be sent, whether
+// legs may be cancelled or not.
 func TestAnsweredWhileAHedgeDials(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		release := make(chan bool)
@@ -245,19 +248,20 @@
 		conn := r.dial()
 		conn.Write([]byte(requestText("1", "GET", "look", "")))
 		<-s.received
-		r.loop.post(loopFunc(func(l *loop) { l.Send("1", "s1", 0) })) // as the module's copy
+		r.loop.post(loopFunc(func(l *loop) { l.Send("1", "s1", 0) })) // as the module sends a hedge
 		<-dialled
 		close(release)
 		got, _ := exchangeOn(conn, "")
 		require.NotNil(t, got)
 		assert.Equal(t, 200, got.StatusCode)
 		resume()
-		eventually(t, "it is over", func() bool { return r.openExchanges() == 0 })
+		eventually(t, "the exchange is finished", func() bool { return r.openExchanges() == 0 })
 		assert.EqualValues(t, 1, s.requests.Load())
 	}
 }
 
-// A keyed exchange whose repeat dials until endpoints may have forgotten its mark: sent then, its effect would come twice.
+// A retry of a request with an idempotency key is dialling until endpoints may have forgotten the key: sent then, its effect
+// could come twice.
 func TestIdempotencyKeyExpiresWhileARetryDials(t *testing.T) {
 	const remember = 150
 	s := newStubEndpoint(t, respondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false))
@@ -273,7 +277,7 @@
 	assert.EqualValues(t, 1, s.requests.Load())
 }
 
-// A drain that is told while a burst waits for the loop goes before the burst.
+// A drain that discovery reports while a burst of requests waits for the loop takes effect before the burst is sent.
 func TestDrainOvertakesABurstOfRequests(t *testing.T) {
 	a, b := newStubEndpoint(t, respondWith(okResponse, true)), newStubEndpoint(t, respondWith(okResponse, true))
 	notify := make(chan bool)
@@ -292,7 +296,7 @@
 		conns[n].Write([]byte(requestText(fmt.Sprint(n), "GET", "look", "")))
 	}
 	eventually(t, "the burst waits", func() bool { return len(r.loop.queue) == len(conns) })
-	_, resumeBehindBurst := r.stopLoopBehindQueue() // behind the burst: what is told after it and stays in the queue is not heard until all is answered
+	_, resumeBehindBurst := r.stopLoopBehindQueue() // a drain queued behind the burst would not be handled until all of it is answered
 	close(notify)
 	eventually(t, "the drain waits too", func() bool { return len(r.loop.queue) > len(conns)+1 || len(r.loop.discoverySlots) > 0 })
 	resume()
@@ -306,7 +310,7 @@
 	assert.NotZero(t, b.requests.Load())
 }
 
-// A list may come over many lines, and each byte in a piece of its own.
+// A list may span several lines, and each of its bytes may arrive separately.
 func TestListsMaySpanSeveralLines(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	line := listText(3, true, entryText("s\\\"}{0", s.Addr().String(), "in_service"))
@@ -344,10 +348,10 @@
 	r := startSidecar(t, "null", func(start *Config) { start.Discovery = d.Addr().String() })
 	eventually(t, "the list", func() bool { return r.loop.watchHeard.Load() })
 	assert.Equal(t, 200, r.status(requestText("1", "GET", "look", "")))
-	assert.EqualValues(t, 1, d.requests.Load(), "asked once")
+	assert.EqualValues(t, 1, d.requests.Load(), "called once")
 }
 
-// A discovery that stops between two lines of one object is asked again as soon as one that stops inside a line.
+// If discovery stops sending between two lines of an object, it is called again as soon as if it stopped inside a line.
 func TestIncompleteListIsRequestedAgain(t *testing.T) {
 	d := newStubEndpoint(t, func(c net.Conn, q *http.Request) bool {
 		c.Write([]byte(watchHead + chunk("{\"version\":1,")))
@@ -355,11 +359,12 @@
 	})
 	began := time.Now()
 	startSidecar(t, "null", func(start *Config) { start.Discovery, start.watchSilence = d.Addr().String(), time.Hour })
-	eventually(t, "asked again", func() bool { return d.requests.Load() >= 2 })
+	eventually(t, "called again", func() bool { return d.requests.Load() >= 2 })
 	assert.GreaterOrEqual(t, time.Since(began), partialLineTimeout)
 }
 
-// What is told out of order must not undo a drain, and a service that counts anew is asked for all it has.
+// Messages of discovery that arrive out of order must not undo a drain. A discovery that restarts its versions is asked for
+// the full list.
 func TestOutdatedListsDoNotUndoDrains(t *testing.T) {
 	at := "127.0.0.1:1"
 	up := func(id string) string { return entryText(id, at, "in_service") }
@@ -369,13 +374,13 @@
 		running     string
 		version     int64
 	}{
-		{"older change revives", listText(4, false, up("a")), "b", 5},
-		{"older change drains", listText(4, false, down("b")), "", 5},
-		{"older whole list revives", listText(4, true, up("a"), up("b")), "b", 5},
-		{"older whole list without entries", listText(3, true), "b", 5},
-		{"older whole list drains", listText(3, true, down("b")), "", 5},
+		{"older change, in service", listText(4, false, up("a")), "b", 5},
+		{"older change, draining", listText(4, false, down("b")), "", 5},
+		{"older full list, in service", listText(4, true, up("a"), up("b")), "b", 5},
+		{"older full list, empty", listText(3, true), "b", 5},
+		{"older full list, draining", listText(3, true, down("b")), "", 5},
 		{"the same version again", listText(5, false, up("a")), "a b", 5},
-		{"newer whole list without entries", listText(6, true), "", 6},
+		{"newer full list, empty", listText(6, true), "", 6},
 		{"newer change", listText(6, false, up("a")), "a b", 6},
 	} {
 		notify := make(chan bool)
@@ -403,8 +408,9 @@
 	}
 }
 
-// A sidecar had been told of a drain; its next watch, of a replica that lags or of the discovery that a new configuration names,
-// begins with a whole list from before. A drain that was told stands: only a list that is not older, or a later start, ends it.
+// After a sidecar was notified of a drain, its next watch, at a replica that lags or at the discovery that a new configuration
+// names, may begin with a full list from before the drain. The drain persists: only a list that is not older, or a later start
+// of the endpoint, ends it.
 func TestDrainsOutlastOlderFullLists(t *testing.T) {
 	const at = "127.0.0.1:1"
 	entryOf := func(state string, started int) string {
@@ -413,14 +419,14 @@
 	for _, c := range []struct {
 		name  string
 		moves bool
-		first string // what the first watch tells of a, at version 5; the next one follows
+		first string // what the first watch reports of a, at version 5; next is the next watch's list
 		next  string
 		takes bool
 	}{
 		{"older, same discovery", false, entryOf("terminating", 0), listText(4, true, entryOf("in_service", 0)), false},
 		{"older, another discovery", true, entryOf("terminating", 0), listText(4, true, entryOf("in_service", 0)), false},
-		{"older, gone before", true, entryOf("terminated", 0), listText(4, true, entryOf("in_service", 0)), false},
-		{"older, but started since", false, entryOf("terminating", 1000), listText(4, true, entryOf("in_service", 2000)), true},
+		{"older, terminated before", true, entryOf("terminated", 0), listText(4, true, entryOf("in_service", 0)), false},
+		{"older, started since", false, entryOf("terminating", 1000), listText(4, true, entryOf("in_service", 2000)), true},
 		{"the same version", true, entryOf("terminating", 0), listText(5, true, entryOf("in_service", 0)), true},
 		{"newer", false, entryOf("terminating", 0), listText(6, true, entryOf("in_service", 0)), true},
 		{"older, never drained", true, entryOf("in_service", 0), listText(4, true, entryOf("in_service", 0)), true},
@@ -462,7 +468,8 @@
 	}
 }
 
-// A service that starts its count again answers a watch from version 5 with changes of its own: all it has is asked for.
+// A discovery that restarts its versions answers a watch from version 5 with changes of lower versions: it is then asked for
+// the full list.
 func TestListVersionsMayRestart(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	calls := atomic.Int64{}
@@ -486,7 +493,7 @@
 	assert.Equal(t, 200, r.status(requestText("1", "GET", "look", "")))
 }
 
-// A fault between a list's start and its end leaves half of a list: the whole is asked for again.
+// A panic between the start and the end of a list leaves the list incomplete: the full list is requested again.
 func TestPanicInAListRequestsTheFullList(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	d := newStubEndpoint(t, func(c net.Conn, q *http.Request) bool {
@@ -511,17 +518,17 @@
 	assert.EqualValues(t, 1, r.server.counters.panics.Load())
 }
 
-// accepted is a client's connection that nobody reads yet, and the client's end of it.
+// acceptedClient returns a client's connection that is not read yet, and the client's end of it.
 func acceptedClient(t *testing.T) (*clientConn, *net.TCPConn) {
 	return acceptedClientIn(t, newDescriptorLimiter(100, &Counters{}))
 }
 
-// A request that is in the kernel's buffer when kept connections are closed is served, not reset.
+// A request that is in the kernel's buffer while idle connections are closed is served, not reset.
 func TestUnreadRequestKeepsAnIdleConnectionOpen(t *testing.T) {
 	c, far := acceptedClient(t)
 	c.enterPhase(phaseIdle)
 	far.Write([]byte(requestText("1", "GET", "look", "")))
-	eventually(t, "it came", func() bool { return c.peekState() == connUnread })
+	eventually(t, "the data arrived", func() bool { return c.peekState() == connUnread })
 	c.descriptors.evictQuiet(true)
 	assert.False(t, c.closed.Load())
 	p := make([]byte, 1000)
@@ -529,14 +536,14 @@
 	require.NoError(t, err)
 	assert.True(t, strings.HasPrefix(string(p[:n]), "GET /look"))
 	c.descriptors.evictQuiet(true)
-	assert.False(t, c.closed.Load(), "a request is under way on it")
+	assert.False(t, c.closed.Load(), "a request is in progress on it")
 	silent, _ := acceptedClient(t)
 	silent.enterPhase(phaseIdle)
 	silent.descriptors.evictQuiet(false)
-	assert.True(t, silent.closed.Load(), "nothing came on this one")
+	assert.True(t, silent.closed.Load(), "nothing arrived on this one")
 }
 
-// A head that began in the last moment of a kept connection's time gets the time that any head has.
+// A head that begins just before an idle connection's timeout gets the time that any head has.
 func TestHeadThatCrossesTheIdleTimeout(t *testing.T) {
 	c, far := acceptedClient(t)
 	c.enterPhase(phaseIdle)
@@ -549,33 +556,33 @@
 		read <- n
 	}()
 	far.Write([]byte(text[:10]))
-	eventually(t, "it began", func() bool { return phase(c.phase.Load()) == phaseReading })
+	eventually(t, "the head began", func() bool { return phase(c.phase.Load()) == phaseReading })
 	time.Sleep(time.Until(idleDeadline) + time.Millisecond)
 	far.Write([]byte(text[10:]))
 	assert.Equal(t, text, string(p[:<-read]))
 }
 
-// What came before the time was over, and was not read by then, is not thrown away: a process stands still now and then.
+// Data that arrived before the timeout and was not read by then, as in a process that stalled, is not discarded.
 func TestUnreadHeadAtTheIdleTimeout(t *testing.T) {
 	c, far := acceptedClient(t)
 	c.enterPhase(phaseIdle)
 	text, p := requestText("1", "GET", "look", ""), make([]byte, 1000)
 	far.Write([]byte(text))
-	eventually(t, "it came", func() bool { return c.peekState() == connUnread })
+	eventually(t, "the data arrived", func() bool { return c.peekState() == connUnread })
 	c.SetReadDeadline(time.Unix(1, 0))
 	n, err := c.Read(p)
 	require.NoError(t, err)
 	assert.Equal(t, text, string(p[:n]))
 }
 
-// An answer of which the client has read nothing yet is not reset because bytes stand unread behind its request.
+// An answer that the client has not read yet is not lost to a reset because bytes are unread after its request.
 func TestUnreadBytesDoNotResetTheAnswer(t *testing.T) {
 	c, far := acceptedClient(t)
 	far.SetReadBuffer(4 << 10)
 	c.SetWriteBuffer(1 << 20)
 	answer := strings.Repeat("a", 200<<10)
 	far.Write([]byte("what nobody reads"))
-	eventually(t, "it came", func() bool { return c.peekState() == connUnread })
+	eventually(t, "the data arrived", func() bool { return c.peekState() == connUnread })
 	c.SetWriteDeadline(time.Now().Add(10 * time.Second))
 	_, err := c.Write([]byte(answer))
 	require.NoError(t, err)
@@ -584,10 +591,10 @@
 	assert.NoError(t, err)
 	assert.Len(t, got, len(answer))
 	far.Close()
-	eventually(t, "given back", func() bool { n, _ := c.descriptors.connections(); return n == 0 })
+	eventually(t, "the descriptor is released", func() bool { n, _ := c.descriptors.connections(); return n == 0 })
 }
 
-// A head that is half read when the listener is closed is waited for, and its exchange answered.
+// A head that is half read when the listener is closed at shutdown is waited for, and its exchange is answered.
 func TestShutdownWaitsForAnIncompleteHead(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s), withLongTimeouts)
@@ -603,7 +610,7 @@
 	})
 	select {
 	case err := <-r.ended:
-		t.Fatal("ended over half a request: ", err)
+		t.Fatal("ended before the request was complete: ", err)
 	case <-time.After(acceptQuietPeriod * 3):
 	}
 	got, body := exchangeOn(c, text[30:]+"ab")
@@ -614,7 +621,7 @@
 	r.ended <- nil
 }
 
-// A product whose clients wait longer than SIGKILL does is answered before that, and one whose time nobody names too.
+// A product whose abandon time is later than SIGKILL, or not set, is answered before SIGKILL.
 func TestShutdownAnswersBeforeALongAbandonTime(t *testing.T) {
 	for _, abandon := range []logic.Millis{0, 9000} {
 		t.Run(fmt.Sprint(abandon), func(t *testing.T) {
@@ -634,14 +641,14 @@
 			require.NotNil(t, got, body)
 			assert.Equal(t, 504, got.StatusCode)
 			assert.Less(t, time.Since(began), maxShutdownAbandon+shutdownMargin, "SIGKILL comes 0.7 s after the longest")
-			assert.Greater(t, time.Since(began), maxShutdownAbandon/2, "and no sooner: there was time")
+			assert.Greater(t, time.Since(began), maxShutdownAbandon/2, "not sooner than needed")
 			assert.NoError(t, <-r.ended)
 			r.ended <- nil
 		})
 	}
 }
 
-// SIGTERM while the address is still held by another: nothing was taken, and the end is a good one.
+// SIGTERM while another process still holds the address: no client was accepted, and the process ends without an error.
 func TestTermWhileWaitingForTheAddress(t *testing.T) {
 	before, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -652,12 +659,13 @@
 	stop()
 	assert.NoError(t, s.Serve(ctx, zap.NewNop(), nil, nil))
 	_, err = (&Config{}).listen(t.Context(), "256.0.0.1:1")
-	assert.Error(t, err, "any other fault is one")
+	assert.Error(t, err, "any other error is returned")
 	assert.NotErrorIs(t, err, syscall.EADDRINUSE)
 }
 
-// A second answer comes some milliseconds behind the first, when its connection carries the next request already: it would
-// be served as that one's. How long a connection rests follows the settings' time to connect.
+// An endpoint sends its answer twice, the second time some milliseconds later, when its connection could carry the next request
+// already: the duplicate would be taken for that request's answer. A connection therefore rests before it is reused, for a time
+// that follows the connect timeout of the settings.
 func TestDuplicateAnswerIsNotTakenForTheNext(t *testing.T) {
 	u := newUpstream(600000, 1e9, newDescriptorLimiter(100, &Counters{}), &Counters{})
 	n, second := atomic.Int64{}, make(chan bool)
@@ -675,33 +683,34 @@
 		r, fault := u.run(newTestLeg(u, s.Addr().String(), 5*time.Second))
 		require.Nil(t, fault)
 		assert.Equal(t, fmt.Sprint(want), string(r.body))
-		time.Sleep(5 * time.Millisecond) // no verdict hangs on it: without a rest the next one takes that connection now
+		// The result does not depend on it: without a rest the next request would take the connection now.
+		time.Sleep(5 * time.Millisecond)
 	}
 	assert.EqualValues(t, 3, s.connections.Load())
 	assert.Equal(t, time.Minute, u.reuseDelay)
 	assert.Equal(t, defaultStallTimeout/10, newUpstream(0, 0, newDescriptorLimiter(100, &Counters{}), &Counters{}).reuseDelay)
 }
 
-// Classes, tenants and limits of another customer: whatever is absent, nothing or extreme, a healthy endpoint's answers get
-// through, from the first exchange on.
+// With any products, tenants and limits, absent, zero or extreme, a healthy endpoint's answers reach the client, from the first
+// exchange on.
 func TestUnusualSettingsStillServe(t *testing.T) {
 	product := func(text string) string { return `"products":[` + text + `]` }
 	const rest = `"expected-time":500.0,"abandon-time":1000.0,"value":1.0,"overdue-value":0.5`
 	for _, c := range []struct{ name, from, to string }{
 		{"one class only", "", product(`{"name":"look","effect":"retryable",` + rest + `}`)},
 		{"a class with a name only", "", product(`{"name":"look"}`)},
-		{"an effect that nobody knows", "", product(`{"name":"look","effect":"odd",` + rest + `}`)},
+		{"an unknown effect", "", product(`{"name":"look","effect":"odd",` + rest + `}`)},
 		{"no expected time", "", product(`{"name":"look","effect":"retryable","abandon-time":1000.0,"value":1.0}`)},
 		{"no abandon time", "", product(`{"name":"look","effect":"retryable","expected-time":500.0,"value":1.0}`)},
-		{"no worth", "", product(`{"name":"look","effect":"retryable","expected-time":500.0,"abandon-time":1000.0,"value":0}`)},
-		{"one worth much, one nothing", "", product(`{"name":"look","effect":"retryable","expected-time":500.0,"abandon-time":1000.0,"value":0},` +
+		{"no value", "", product(`{"name":"look","effect":"retryable","expected-time":500.0,"abandon-time":1000.0,"value":0}`)},
+		{"one of high value, one of none", "", product(`{"name":"look","effect":"retryable","expected-time":500.0,"abandon-time":1000.0,"value":0},` +
 			`{"name":"buy","effect":"fragile","expected-time":500.0,"abandon-time":1000.0,"value":1000000.0}`)},
-		{"a mark that nobody remembers", "", product(`{"name":"look","effect":"retryable",` + rest + `},{"name":"save","effect":"dedup","dedup-scope":"cell",` + rest + `}`)},
-		{"all the time there is", "", product(`{"name":"look","effect":"retryable","expected-time":600000.0,"abandon-time":3600000.0,"value":1.0}`)},
+		{"keys that are not remembered", "", product(`{"name":"look","effect":"retryable",` + rest + `},{"name":"save","effect":"dedup","dedup-scope":"cell",` + rest + `}`)},
+		{"very long times", "", product(`{"name":"look","effect":"retryable","expected-time":600000.0,"abandon-time":3600000.0,"value":1.0}`)},
 		{"an expected time beyond the abandon time", "", product(`{"name":"look","effect":"retryable","expected-time":5000.0,"abandon-time":1000.0,"value":1.0}`)},
 		{"a tenant with no share", `"fleet-size":1`, `"fleet-size":1,"overage-value":0,"tenants":[{"name":"a","portion":0},{"name":"b","portion":1}]`},
-		{"no limits at all", `"allowed":{"max-legs":3,"may-cancel":true,"second-copies":true,"retry-after":true,"max-retry-after":700.0,"connect-timeout":250.0,"idle-close":15000.0}`, `"allowed":{}`},
-		{"no rules", `"guarantees":{"ask-within":1000.0,"grace-to-answer":20.0}`, `"guarantees":{}`},
+		{"no allowed settings", `"allowed":{"max-legs":3,"may-cancel":true,"second-copies":true,"retry-after":true,"max-retry-after":700.0,"connect-timeout":250.0,"idle-close":15000.0}`, `"allowed":{}`},
+		{"no guarantees", `"guarantees":{"ask-within":1000.0,"grace-to-answer":20.0}`, `"guarantees":{}`},
 		{"a huge fleet", `"fleet-size":1`, `"fleet-size":100000`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -728,14 +737,14 @@
 	}
 }
 
-// A client whose connection broke sends its request once more under the same id. Nothing was sent on of the first: the second
-// is served. Something was: its effect must not come twice.
+// A client whose connection broke sends its request again under the same id. If nothing of the first request was sent to an
+// endpoint, the second is served; otherwise it is refused, since its effect must not come twice.
 func TestRepeatedRequestAfterABrokenConnection(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		begun bool
 		want  int
-	}{{"while its leg dialled", false, 200}, {"after its leg began", true, 409}} {
+	}{{"while its leg was dialling", false, 200}, {"after its leg was sent", true, 409}} {
 		t.Run(c.name, func(t *testing.T) {
 			hang := make(chan bool)
 			s := newStubEndpoint(t, func(conn net.Conn, q *http.Request) bool {
@@ -756,18 +765,19 @@
 				<-s.received
 			}
 			closeClient(first, "RST")
-			eventually(t, "its leaving is known", func() bool { return r.server.counters.clientsLeft.Load() == 1 })
+			eventually(t, "the close is noticed", func() bool { return r.server.counters.clientsLeft.Load() == 1 })
 			if !c.begun {
 				resume()
 			}
-			eventually(t, "it is over", func() bool { return r.openExchanges() == 0 })
+			eventually(t, "the exchange is finished", func() bool { return r.openExchanges() == 0 })
 			assert.Equal(t, c.want, r.status(text))
 			assert.EqualValues(t, 1, s.requests.Load(), "one effect")
 		})
 	}
 }
 
-// The first connection's end has come and its leaving is not booked when the request comes again: the loop looks.
+// A request is repeated after its first connection was closed and before the loop has handled that close: the loop checks the
+// first connection itself.
 func TestRepeatedRequestBeforeTheCloseIsProcessed(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, "null", withLongTimeouts)
@@ -776,12 +786,12 @@
 	resume := r.stopLoop()
 	first := r.dial()
 	first.Write([]byte(text))
-	eventually(t, "it is queued", func() bool { return len(r.loop.queue) == 1 })
+	eventually(t, "the first request is queued", func() bool { return len(r.loop.queue) == 1 })
 	closeClient(first, "FIN")
-	eventually(t, "so is its leaving", func() bool { return len(r.loop.queue) == 2 })
+	eventually(t, "its close is queued", func() bool { return len(r.loop.queue) == 2 })
 	second := r.dial()
 	second.Write([]byte(text))
-	eventually(t, "and the second", func() bool { return len(r.loop.queue) == 3 })
+	eventually(t, "the second request is queued", func() bool { return len(r.loop.queue) == 3 })
 	resume()
 	got, _ := exchangeOn(second, "")
 	require.NotNil(t, got)
@@ -789,7 +799,7 @@
 	assert.LessOrEqual(t, s.requests.Load(), int64(1), "one effect")
 }
 
-// An endpoint that answers before it has the whole of a request has not read it: that answer is nobody's.
+// An endpoint that answers before it has the whole request can't have processed it: that answer is not passed on.
 func TestAnswerBeforeTheWholeRequestIsRejected(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -818,7 +828,7 @@
 	assert.LessOrEqual(t, fault.stage, writing)
 }
 
-// heldWrites holds back all behind the first part of a message until its peer has said something.
+// heldWriteConn holds back all but the first part of a message until its peer has sent something.
 type heldWriteConn struct {
 	net.Conn
 	part int
@@ -844,8 +854,8 @@
 	return h.Conn.Write(p)
 }
 
-// Many requests pipelined on one connection, more than is read ahead: each is answered, in order, though its client writes all
-// before it reads the first answer.
+// Of many requests pipelined on one connection, more than is read ahead, each is answered, in order, although the client writes
+// all of them before it reads the first answer.
 func TestPipeliningBeyondTheReadAheadLimit(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s, s), withLongTimeouts)
@@ -867,8 +877,8 @@
 	assert.EqualValues(t, many, s.requests.Load())
 }
 
-// What was known of one request must not be taken for the next one's on its connection: a body in chunks behind an exchange
-// of any kind was read as what stands behind a request, and thrown away.
+// The state of one request must not carry over to the next one on its connection: a chunked body after an earlier exchange of any
+// kind was taken for data that follows a request, and discarded.
 func TestChunkedBodyOnAReusedConnection(t *testing.T) {
 	for _, size := range []int{2, maxBufferedBodyBytes + 16} {
 		s := newStubEndpoint(t, respondWith(okResponse, true))
@@ -889,19 +899,19 @@
 	}
 }
 
-// placedText is an entry of a zone and a kind of machine.
+// placedEntryText is a list entry with a zone and a kind of machine.
 func placedEntryText(id, addr, zone, kind, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":1,"state":%q,"weight":1.0,"started_ms":0}`, id, addr, zone, kind, state)
 }
 
-// bound has buy go to machines of kind k in zone a only.
+// withBoundBuy allows buy to go only to machines of kind k in zone a.
 func withBoundBuy(s *Config) {
 	s.terms.Products[1].RunsIn = []logic.ZoneID{s.names.Zone([]byte("a"))}
 	s.terms.Products[1].AllowedOn = []logic.KindID{s.names.Kind([]byte("k"))}
 }
 
-// A product that is bound to a zone and a kind of machine goes nowhere else, whatever the list makes of its endpoints; others
-// go anywhere meanwhile. A start file that is read anew does not open what this process was told to keep to.
+// A product that is bound to a zone and a kind of machine is sent nowhere else, however the list changes; other products are
+// sent anywhere meanwhile. Reading the start file again does not lift the constraint.
 func TestPlacementConstraintsAreKept(t *testing.T) {
 	right, other, wrong := newStubEndpoint(t, respondWith(okResponse, true)), newStubEndpoint(t, respondWith(okResponse, true)), newStubEndpoint(t, respondWith(okResponse, true))
 	rightAddr, otherAddr, wrongAddr := right.Addr().String(), other.Addr().String(), wrong.Addr().String()
@@ -912,15 +922,15 @@
 	})
 	for n, c := range []struct {
 		name, line string
-		to         *stubEndpoint // of buy; nil for nowhere
+		to         *stubEndpoint // where buy goes; nil for nowhere
 	}{
-		{"one is open to it", listText(1, true, placedEntryText("s0", rightAddr, "a", "k", "in_service"), placedEntryText("s1", otherAddr, "b", "k", "in_service"),
+		{"one endpoint fits", listText(1, true, placedEntryText("s0", rightAddr, "a", "k", "in_service"), placedEntryText("s1", otherAddr, "b", "k", "in_service"),
 			placedEntryText("s2", wrongAddr, "a", "l", "in_service")), right},
-		{"that one drains", listText(2, false, placedEntryText("s0", rightAddr, "a", "k", "terminating")), nil},
-		{"another moves in", listText(3, false, placedEntryText("s1", otherAddr, "a", "k", "in_service")), other},
-		{"it becomes another kind", listText(4, false, placedEntryText("s1", otherAddr, "a", "l", "in_service")), nil},
-		{"a whole list without any", listText(5, true, placedEntryText("s2", wrongAddr, "a", "l", "in_service")), nil},
-		{"the first is back", listText(6, false, placedEntryText("s0", rightAddr, "a", "k", "in_service")), right},
+		{"it drains", listText(2, false, placedEntryText("s0", rightAddr, "a", "k", "terminating")), nil},
+		{"another moves to the zone", listText(3, false, placedEntryText("s1", otherAddr, "a", "k", "in_service")), other},
+		{"that one changes its kind", listText(4, false, placedEntryText("s1", otherAddr, "a", "l", "in_service")), nil},
+		{"a full list without one that fits", listText(5, true, placedEntryText("s2", wrongAddr, "a", "l", "in_service")), nil},
+		{"the first returns", listText(6, false, placedEntryText("s0", rightAddr, "a", "k", "in_service")), right},
 	} {
 		notify <- c.line
 		eventually(t, c.name, func() bool { return r.server.counters.listVersion.Load() == int64(n+1) })
@@ -953,7 +963,7 @@
 	}
 }
 
-// The list moves an endpoint to another zone while a leg of a bound product dials it: nothing is written there.
+// The list moves an endpoint to another zone or kind while a leg of a bound product dials it: the leg must not be sent.
 func TestEndpointMovesZoneWhileALegDials(t *testing.T) {
 	for _, c := range []struct{ name, zone, kind string }{{"zone", "b", "k"}, {"kind", "a", "l"}} {
 		t.Run(c.name, func(t *testing.T) {
@@ -967,7 +977,7 @@
 			<-dialled
 			r.loop.postUrgent(listReceived{endpointList: endpointList{version: 2, servers: []listEntry{{id: "s0", addr: at, zone: c.zone, kind: c.kind,
 				cell: 1, running: true, weight: 1}}}, fromDisk: true})
-			eventually(t, "it is booked", func() bool {
+			eventually(t, "the move is handled", func() bool {
 				there := make(chan [2]string)
 				r.loop.post(loopFunc(func(l *loop) { there <- l.upstream.find("s0").currentLocality() }))
 				return <-there == [2]string{c.zone, c.kind}
--- a/internal/sidecar/defect.go
+++ b/internal/sidecar/defect.go
@@ -2,5 +2,6 @@
 
 package sidecar
 
-// seeded names a defect sown on purpose, for the rehearsals' own checks. Builds for service have none.
+// injectedFault names a fault that is injected on purpose, to check that runs of scenarios detect it. Builds without the tag
+// seeded inject none.
 const injectedFault = ""
--- a/internal/sidecar/descriptors.go
+++ b/internal/sidecar/descriptors.go
@@ -1,6 +1,7 @@
-// Descriptors: how many connections the process may hold, and which give way when these run short. This file owns the count of both
-// sides, clients and endpoints, and the order in which silent connections are closed. It must never close a connection on which an
-// exchange is in hand, nor one whose bytes wait unread in the kernel.
+// This file limits how many connections the process holds, and decides which are evicted when descriptors run short. It owns
+// the count of connections to clients and to endpoints, and the order in which silent connections are closed. It must never
+// close a connection on which an exchange is in progress, nor one with bytes unread in the kernel.
+
 package sidecar
 
 import (
@@ -11,46 +12,55 @@
 	"time"
 )
 
-// fixedSockets are standard streams, listener, poller and discovery, with some to spare.
+// reservedDescriptors are set aside for the standard streams, the listener, the poller and discovery, with some to spare.
 const reservedDescriptors = 24
 
-// clientPart is the part of the usable descriptors that clients keep against endpoints, and that endpoints keep against clients. A
-// request in hand needs one of each, so that a crowd of clients must not take what its requests go out on, as HAProxy keeps maxconn of
-// frontends and of servers apart.
+// clientShareDivisor divides the usable descriptors into the share that is guaranteed to clients against endpoints and the
+// share that is guaranteed to endpoints against clients. A request in progress needs one descriptor of each side, so that a
+// flood of clients must not take those on which its requests are sent on. HAProxy separates maxconn of frontends and of
+// servers for the same reason.
 const clientShareDivisor = 2
 
-// upstreamPart is the part of the usable descriptors down to which endpoints' idle connections give way to a crowd of silent clients.
+// idleUpstreamShareDivisor gives the share of the usable descriptors down to which idle connections to endpoints are closed in
+// favour of a flood of silent clients.
 const idleUpstreamShareDivisor = 8
 
-// Silences after which a connection gives way. They shrink from the most to the least as the listener's queue grows, so that whoever
-// waits there is accepted in about queueTarget.
+// How long a connection may be silent before it can be evicted. The limits shrink from the maximum to the minimum as the
+// accept queue grows, so that a connection waits there for about acceptWaitTarget.
 const (
-	maxFreshSilence   = 100 * time.Millisecond // who said nothing at all
-	minFreshSilence   = 10 * time.Millisecond
-	maxReadingSilence = 500 * time.Millisecond // who has not sent a whole request, from its first byte
+	// Limits for a connection on which nothing has arrived.
+	maxFreshSilence = 100 * time.Millisecond
+	minFreshSilence = 10 * time.Millisecond
+	// Limits for a request that is not whole, counted from its first byte.
+	maxReadingSilence = 500 * time.Millisecond
 	minReadingSilence = 20 * time.Millisecond
-	acceptWaitTarget  = 25 * time.Millisecond
+
+	acceptWaitTarget = 25 * time.Millisecond
 )
 
 const (
-	maxClaimTries     = 8                    // for a descriptor that another goroutine took first
-	claimPollInterval = 5 * time.Millisecond // between two looks for one while nobody can give way
+	// Attempts to get a descriptor when other goroutines keep taking the freed ones.
+	maxClaimTries = 8
+	// Between two attempts while no connection can be evicted.
+	claimPollInterval = 5 * time.Millisecond
 )
 
-// sockets counts descriptors against the limit. Clients may go beyond it by a spare part, in which they are read and
-// answered 503: a connection accepted by the kernel and never read would be an exchange lost.
+// descriptorLimiter counts connections against the limit of descriptors. Clients may exceed it by a spare part, in which their
+// requests are read and answered 503: a connection that the kernel accepted and the sidecar never read would be a lost
+// exchange.
 type descriptorLimiter struct {
 	mu                sync.Mutex
-	changed           *sync.Cond
+	changed           *sync.Cond // a descriptor was given back, or the limit changed
 	startedAt         time.Time
-	usable, spare     int
-	reserved          int // set aside by each process: fixed ones, and the console's callers
-	usableAlone       int // usable by this process while it is alone
-	maxKeptAlive      int // clients' connections up to which they are kept after an answer
+	usable            int // limit for clients and endpoints together
+	spare             int // beyond usable, for clients that are refused
+	reserved          int // set aside by each process: reservedDescriptors and those of console callers
+	usableAlone       int // usable while this process is the only one of the sidecar
+	maxKeptAlive      int // with more client connections than this, answers close theirs
 	upstreamConns     int
 	clients           map[*clientConn]struct{}
-	closeIdleUpstream func() bool // closes one idle upstream connection
-	acceptQueueLength func() int  // connections that wait to be accepted; 0 where that is not known
+	closeIdleUpstream func() bool // closes one idle connection to an endpoint, if there is one
+	acceptQueueLength func() int  // connections that wait to be accepted; 0 if unknown
 	counters          *Counters
 }
 
@@ -65,16 +75,19 @@
 	return s
 }
 
+// clock returns the time since startedAt.
 func (s *descriptorLimiter) clock() time.Duration { return time.Since(s.startedAt) }
 
+// connections returns how many connections to clients and to endpoints are open.
 func (s *descriptorLimiter) connections() (clients, upstream int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.clients), s.upstreamConns
 }
 
-// shareWith makes room for the other processes of an upgrade, which hold so many: each may have half of what neither does.
-// What is silent or idle gives way first. Below 0 there is no other.
+// shareWith adapts the limit to the other processes of an upgrade, which hold othersHold connections (below 0: there is no
+// other process). Each process may use half of what none of them holds. Connections beyond the new limit are evicted, silent
+// and idle ones first.
 func (s *descriptorLimiter) shareWith(othersHold int) {
 	s.mu.Lock()
 	s.usable = s.usableAlone
@@ -88,14 +101,16 @@
 	}
 }
 
+// overLimit reports whether more connections are open than usable.
 func (s *descriptorLimiter) overLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.clients)+s.upstreamConns > s.usable
 }
 
-// crowded tells that an answer should close its connection. An application may hold a third of our descriptors: with that
-// many connections idle, left behind by those who ask once and stay, its next requests would find none to go out on.
+// keepAliveExceeded reports whether answers should close their connections. An application may hold a third of the process's
+// descriptors: with that many connections left idle after one request each, its next requests would find no descriptor for
+// a connection to an endpoint.
 func (s *descriptorLimiter) keepAliveExceeded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,25 +123,26 @@
 	return answered > s.maxKeptAlive
 }
 
-// full tells whether the usable descriptors, and so many more, are held.
+// full reports whether at least the usable descriptors and extra ones are in use.
 func (s *descriptorLimiter) full(extra int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.clients)+s.upstreamConns >= s.usable+extra
 }
 
-// clientsKeep is how many connections clients keep against endpoints.
+// clientGuarantee returns how many connections of clients are not evicted in favour of endpoints.
 func (s *descriptorLimiter) clientGuarantee() int { return s.usable / clientShareDivisor }
 
-// clientsHold tells whether clients have more than they keep against endpoints.
+// clientsExceedGuarantee reports whether clients hold more connections than they are guaranteed.
 func (s *descriptorLimiter) clientsExceedGuarantee() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.clients) > s.clientGuarantee()
 }
 
-// idleGives tells whether endpoints' idle connections give way to one more client: always, but for the last of them, which give way only
-// while clients that ask for nothing just now have less than clients keep.
+// idleUpstreamEvictable reports whether an idle connection to an endpoint may be closed in favour of one more client. The last
+// of them, a share of 1/idleUpstreamShareDivisor, are closed only while clients without a request in progress hold fewer
+// connections than clients are guaranteed.
 func (s *descriptorLimiter) idleUpstreamEvictable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +158,7 @@
 	return notBusy < s.clientGuarantee()
 }
 
-// silences are the shortest silences after which connections give way, by their phase. A phase that is missing does not.
+// silenceLimits gives, by phase, after how long a silence a connection can be evicted. In a phase that is missing it can not.
 type silenceLimits map[phase]time.Duration
 
 var (
@@ -152,9 +168,10 @@
 	slowRequestLimits = silenceLimits{phaseReading: maxReadingSilence}
 )
 
-// patience is how long silent connections are waited for just now. The queue passes through the clients' descriptors once in the time
-// that each is held, so that its wait is that time by queued over usable. While nobody has to wait longer than that, half a request, which
-// would have to be refused, gives way last.
+// currentLimits returns the limits that apply at the current length of the accept queue. The queue passes through the clients'
+// descriptors once in the time for which a descriptor is held, so that a connection waits there for that time multiplied by
+// queue length and divided by usable descriptors. While this keeps to acceptWaitTarget with maxReadingSilence, incomplete
+// requests, which would have to be refused, are evicted last, by slowRequestLimits.
 func (s *descriptorLimiter) currentLimits() silenceLimits {
 	waiting := s.acceptQueueLength()
 	if waiting <= 0 {
@@ -167,22 +184,24 @@
 	return silenceLimits{phaseFresh: min(max(holdTime, minFreshSilence), maxFreshSilence), phaseIdle: 0, phaseReading: max(holdTime, minReadingSilence)}
 }
 
-// room tells whether one more client fits, once who is silent has given way, or an endpoint's idle connection, whose opening costs more.
+// makeClientRoom reports whether one more client fits, if need be after evicting a silent client or else closing an idle
+// connection to an endpoint, which costs more to open again.
 func (s *descriptorLimiter) makeClientRoom() bool {
 	return !s.full(0) || s.evictSilent(s.currentLimits()) || s.idleUpstreamEvictable() && s.closeIdleUpstream() || s.evictSilent(slowRequestLimits)
 }
 
-// upstreamRoom does the same for one more connection to an endpoint.
+// makeUpstreamRoom does the same for one more connection to an endpoint.
 func (s *descriptorLimiter) makeUpstreamRoom() bool {
 	return !s.full(0) || s.evictSilent(s.currentLimits()) || s.closeIdleUpstream() || s.evictSilent(slowRequestLimits)
 }
 
-// shedSilent closes the connection that has been longest in its phase, of those that may give way. What waits unread on one is served.
+// evictSilent closes the connection that has been longest in its phase, of those that limits allow to be evicted. One with
+// unread data is not closed: its request is served.
 func (s *descriptorLimiter) evictSilent(limits silenceLimits) bool {
 	for _, c := range s.evictionCandidates(limits) {
 		current := phase(c.phase.Load())
 		if _, evictable := limits[current]; !evictable || c.peekState() == connUnread || !c.phase.CompareAndSwap(int32(current), int32(phaseEvicted)) {
-			continue // it woke up meanwhile
+			continue // it is no longer silent
 		}
 		s.counters.clientsShed.Add(1)
 		if current == phaseReading {
@@ -194,10 +213,10 @@
 	return false
 }
 
-// silentMost bounds the connections that one search looks at.
+// maxEvictionCandidates bounds the connections that one search returns.
 const maxEvictionCandidates = 32
 
-// silent are connections that may give way, the longest in their phase first.
+// evictionCandidates returns connections that limits allow to be evicted, the longest in their phase first.
 func (s *descriptorLimiter) evictionCandidates(limits silenceLimits) (found []*clientConn) {
 	now := s.clock()
 	s.mu.Lock()
@@ -211,8 +230,8 @@
 	return found[:min(len(found), maxEvictionCandidates)]
 }
 
-// shedQuiet closes kept connections on which nothing has come, and, once nobody comes any more, those on which nothing
-// ever came. What waits unread on one is served first.
+// evictQuiet closes idle connections, and with includeFresh, once the listener is closed, also those on which nothing has
+// arrived for maxFreshSilence. One with unread data is not closed: its request is served first.
 func (s *descriptorLimiter) evictQuiet(includeFresh bool) {
 	now := s.clock()
 	s.mu.Lock()
@@ -232,8 +251,9 @@
 	}
 }
 
-// takeClient counts a client's connection in; false means that it is beyond the limit. One whose request waits whole takes the place of
-// the longest silent, however short that is silent, so that it fits although others are beyond the limit.
+// admitClient counts a client's connection; false means that it is over the limit. A connection on which a complete request
+// head waits evicts the one that is silent the longest, however short that silence, and then counts as fitting even while
+// others are over the limit.
 func (s *descriptorLimiter) admitClient(c *clientConn) bool {
 	if s.countClient(c, false) {
 		return true
@@ -253,7 +273,7 @@
 	return s.countClient(c, true)
 }
 
-// enterClient counts a client in if it fits, or beyond the limit, and tells whether it fits.
+// countClient counts a client's connection if it fits or force is set, and reports whether it fits.
 func (s *descriptorLimiter) countClient(c *clientConn, force bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,8 +284,8 @@
 	return fits
 }
 
-// takeUpstream counts a connection to an endpoint in, or says that there is no room. While clients hold more than their part it takes
-// the place of one of them, although others are beyond the limit.
+// acquireUpstream counts a connection to an endpoint, or returns false if there is no descriptor for it. While clients hold
+// more than their guarantee it evicts one of them, even while others are over the limit.
 func (s *descriptorLimiter) acquireUpstream() bool {
 	if s.countUpstream(false) {
 		return true
@@ -284,7 +304,7 @@
 	return false
 }
 
-// enterUpstream counts a connection to an endpoint in if it fits, or into the spare part.
+// countUpstream counts a connection to an endpoint if it fits, with useSpare also into the spare part.
 func (s *descriptorLimiter) countUpstream(useSpare bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -299,7 +319,7 @@
 	return true
 }
 
-// awaitUpstream is takeUpstream that waits for a descriptor until ctx ends.
+// waitForUpstream is acquireUpstream that waits for a descriptor until ctx ends.
 func (s *descriptorLimiter) waitForUpstream(ctx context.Context) bool {
 	for !s.acquireUpstream() {
 		if ctx.Err() != nil {
@@ -310,6 +330,7 @@
 	return true
 }
 
+// releaseClient gives back a client's descriptor.
 func (s *descriptorLimiter) releaseClient(c *clientConn) {
 	s.mu.Lock()
 	delete(s.clients, c)
@@ -317,6 +338,7 @@
 	s.changed.Broadcast()
 }
 
+// releaseUpstream gives back the descriptor of a connection to an endpoint.
 func (s *descriptorLimiter) releaseUpstream() {
 	s.mu.Lock()
 	s.upstreamConns--
@@ -324,14 +346,15 @@
 	s.changed.Broadcast()
 }
 
-// await blocks while even the spare part is used up and nobody can give way.
+// waitForClientRoom blocks while even the spare part is used up and no connection can be evicted.
 func (s *descriptorLimiter) waitForClientRoom() {
 	for s.full(s.spare) && !s.makeClientRoom() {
 		s.waitForChange()
 	}
 }
 
-// waitForChange returns when a descriptor was given back, or after a pause in which somebody may have become silent for long enough.
+// waitForChange returns when a descriptor was given back, or after claimPollInterval, since a connection may by then have been
+// silent for long enough to be evicted.
 func (s *descriptorLimiter) waitForChange() {
 	wake := time.AfterFunc(claimPollInterval, s.changed.Broadcast)
 	defer wake.Stop()
--- a/internal/sidecar/descriptors_test.go
+++ b/internal/sidecar/descriptors_test.go
@@ -13,7 +13,7 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// connected is a client's connection beside others in the same books, and its far end.
+// acceptedClientIn returns a client's connection that is counted in s, and the client's end of it.
 func acceptedClientIn(t *testing.T, s *descriptorLimiter) (*clientConn, *net.TCPConn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -28,8 +28,9 @@
 	return c, far.(*net.TCPConn)
 }
 
-// A crowd of silent clients took every descriptor, each attempt found none and was booked as a failed connection of its endpoint. Clients
-// that hold more than their part give way to attempts at once; those that hold no more keep it.
+// Guards against a flood of silent clients that took every descriptor, so that each leg found none and counted as a failed
+// connection of its endpoint. While clients hold more than their guarantee, they are evicted for legs at once; at the guarantee
+// they are not.
 func TestLegsGetDescriptorsBesideSilentClients(t *testing.T) {
 	s := newDescriptorLimiter(64, &Counters{})
 	for range s.usable {
@@ -41,11 +42,12 @@
 	}
 	clients, upstream := s.connections()
 	assert.Equal(t, s.usable, clients+upstream)
-	assert.Equal(t, s.clientGuarantee(), clients, "and no more")
-	assert.False(t, s.acquireUpstream(), "they keep their part while they are not silent for long")
+	assert.Equal(t, s.clientGuarantee(), clients, "clients are evicted down to their guarantee")
+	assert.False(t, s.acquireUpstream(), "guaranteed connections are not evicted while their silence is short")
 }
 
-// A client whose request waits whole takes the place of a silent one, even if that is silent for a moment only; half a head does not.
+// A client with a complete request head evicts a silent one, even if that has been silent only for a moment; one with half a
+// head does not.
 func TestWholeRequestEvictsASilentConnection(t *testing.T) {
 	for text, excess := range map[string]bool{"GET /look/x HTTP/1.1\r\nHo": true, "GET /look/x HTTP/1.1\r\nHost: h\r\n\r\n": false} {
 		s := newDescriptorLimiter(64, &Counters{})
@@ -70,7 +72,7 @@
 	}
 }
 
-// What waits unread in the kernel is a request that was not looked at yet: its connection is not closed for room.
+// Unread bytes in the kernel are a request that was not read yet: their connection is not evicted.
 func TestConnectionWithUnreadBytesIsNotEvicted(t *testing.T) {
 	s := newDescriptorLimiter(64, &Counters{})
 	sending, far := acceptedClientIn(t, s)
@@ -78,12 +80,13 @@
 	io.WriteString(far, "GET /look/x HTTP/1.1\r\n")
 	assert.Eventually(t, func() bool { return sending.peekState() == connUnread }, time.Second, time.Millisecond)
 	assert.True(t, s.evictSilent(anySilenceLimits))
-	assert.True(t, silent.closed.Load(), "though it is the later one")
+	assert.True(t, silent.closed.Load(), "although it is the later one")
 	assert.False(t, s.evictSilent(anySilenceLimits))
 	assert.False(t, sending.closed.Load())
 }
 
-// The longer the queue of those who wait to be accepted, the shorter silences are borne; with none the figures of before hold.
+// The longer the accept queue, the shorter the silences that are tolerated. With an empty queue the maximum applies to new
+// connections, and incomplete requests are not evicted.
 func TestSilenceLimitsShrinkWithTheAcceptQueue(t *testing.T) {
 	s := newDescriptorLimiter(256, &Counters{})
 	queued := 0
@@ -100,7 +103,8 @@
 	assert.Equal(t, minReadingSilence, before)
 }
 
-// An attempt that finds no descriptor waits for one as long as for a connection; if none comes, that says nothing of its endpoint.
+// A leg that finds no descriptor waits for one as long as for a connection. If none is released, this does not count against its
+// endpoint.
 func TestLegWaitsForADescriptor(t *testing.T) {
 	u, s := newTestUpstream(t, 2*reservedDescriptors), newStubEndpoint(t, respondWith(okResponse, true))
 	t.Cleanup(func() { u.sockets.upstreamConns = 0 })
@@ -124,14 +128,15 @@
 	assert.False(t, u.sockets.waitForUpstream(ctx))
 }
 
-// Where the kernel holds back silent connections, these take no descriptor for a second, and one that has asked is accepted at once.
+// If the kernel holds back silent connections, they take no descriptor for a second, while one that has sent data is accepted
+// at once.
 func TestSilentConnectionsAreDeferred(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	l := newClientListener(ln.(*net.TCPListener), newDescriptorLimiter(100, &Counters{}), nil)
 	defer l.Close()
 	if !l.deferring {
-		t.Skip("the kernel does not defer")
+		t.Skip("the kernel does not support TCP_DEFER_ACCEPT")
 	}
 	silent, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
@@ -149,5 +154,5 @@
 	require.NoError(t, err)
 	defer second.Close()
 	assert.Equal(t, silent.LocalAddr(), second.RemoteAddr())
-	assert.Equal(t, acceptDeferTime, second.(*clientConn).deferredFor, "its time to send a head has begun")
+	assert.Equal(t, acceptDeferTime, second.(*clientConn).deferredFor, "the time it was held back counts against its first deadline")
 }
--- a/internal/sidecar/kernel.go
+++ b/internal/sidecar/kernel.go
@@ -1,5 +1,6 @@
-// Kernel: what the kernel knows of connections and of the listener beyond what is read from them. Nothing here reads a byte. Where a
-// question is not answered, as on other kinds of sockets, the answer is the one that changes nothing.
+// This file asks the kernel about connections and the listener. Nothing here consumes a byte of a connection's data. Where the
+// kernel does not answer, as for other kinds of sockets, the functions return the result that changes nothing for the caller.
+
 package sidecar
 
 import (
@@ -12,28 +13,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// sight is what a look at a connection showed.
+// connState is what the kernel shows of a connection.
 type connState int
 
 const (
-	connOpen   connState = iota // it is open, and all that came was read
-	connUnread                  // bytes wait in the kernel
-	connEnded                   // its client closed its sending, or reset it; bytes may wait before that
+	connOpen   connState = iota // it is open, and all data that arrived was read
+	connUnread                  // unread data waits in the kernel
+	connEnded                   // the client closed its sending side or reset the connection; unread data may precede that
 )
 
-const tcpStateCloseWait, tcpStateClosed = 8, 7 // of the kernel's states of a connection
+// Connection states as TCP_INFO gives them.
+const (
+	tcpStateCloseWait = 8
+	tcpStateClosed    = 7
+)
 
-// unreadLeast is the wait of bytes in the kernel that counts. The kernel counts in ticks of up to 10 ms.
+// minUnreadAge is the shortest wait of unread data that is taken into account: the kernel's resolution is up to 10 ms.
 const minUnreadAge = 20 * time.Millisecond
 
-// query is the means of asking; they are kept, since the ordinary path must not allocate.
+// socketQuery holds the buffers and functions for one query of a socket, and its result. They are pooled, since the normal
+// request path must not allocate.
 type socketQuery struct {
+	// The methods peek, readAge and peekHead as function values.
 	peekFunc, ageFunc, headFunc func(fd uintptr)
-	state                       connState
-	unreadAge                   time.Duration
-	headComplete                bool
-	peekBuffer                  [initialHeadBytes]byte
-	info                        unix.TCPInfo
+
+	state        connState
+	unreadAge    time.Duration
+	headComplete bool
+	peekBuffer   [initialHeadBytes]byte
+	info         unix.TCPInfo
 }
 
 var socketQueries = sync.Pool{New: func() any {
@@ -42,7 +50,7 @@
 	return q
 }}
 
-// askInfo asks for TCP_INFO (tcp(7)), and tells whether it was answered.
+// askInfo reads TCP_INFO (tcp(7)) into q.info. It reports whether the kernel returned it up to the fields that are used.
 func (q *socketQuery) askInfo(fd uintptr) bool {
 	q.info = unix.TCPInfo{}
 	size := uint32(unsafe.Sizeof(q.info))
@@ -51,13 +59,14 @@
 	return errno == 0 && size >= uint32(unsafe.Offsetof(q.info.Last_data_recv)+unsafe.Sizeof(q.info.Last_data_recv))
 }
 
+// peek sets q.state.
 func (q *socketQuery) peek(fd uintptr) {
 	n, _, err := syscall.Recvfrom(int(fd), q.peekBuffer[:1], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch q.state = connOpen; {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
 	case err != nil || n <= 0:
 		q.state = connEnded
-	default: // the end may stand behind what waits
+	default: // the client may have closed after the unread data
 		q.state = connUnread
 		if q.askInfo(fd) && (q.info.State == tcpStateCloseWait || q.info.State == tcpStateClosed) {
 			q.state = connEnded
@@ -65,6 +74,7 @@
 	}
 }
 
+// readAge sets q.unreadAge to the time since data last arrived.
 func (q *socketQuery) readAge(fd uintptr) {
 	q.unreadAge = 0
 	if q.askInfo(fd) {
@@ -72,12 +82,13 @@
 	}
 }
 
+// peekHead sets q.headComplete. A head that fills the peek buffer counts as complete.
 func (q *socketQuery) peekHead(fd uintptr) {
 	n, _, err := syscall.Recvfrom(int(fd), q.peekBuffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	q.headComplete = err == nil && n > 0 && (headEnd(q.peekBuffer[:n]) > 0 || n == len(q.peekBuffer))
 }
 
-// look asks the kernel, beside whoever reads.
+// peekState returns the connection's state. It may be called while another goroutine reads from the connection.
 func (c *clientConn) peekState() connState {
 	if c.raw == nil {
 		return connOpen
@@ -90,7 +101,7 @@
 	return q.state
 }
 
-// unreadFor is how long the last bytes that came have been here; 0 for a short while.
+// unreadFor returns how long ago the last data arrived; 0 if that is less than minUnreadAge.
 func (c *clientConn) unreadFor() time.Duration {
 	if c.raw == nil {
 		return 0
@@ -103,7 +114,7 @@
 	return q.unreadAge
 }
 
-// headWaits tells whether the head of a request waits whole.
+// headIsComplete reports whether the complete head of a request waits unread.
 func (c *clientConn) headIsComplete() bool {
 	if c.raw == nil {
 		return false
@@ -113,11 +124,13 @@
 	return c.raw.Control(q.headFunc) == nil && q.headComplete
 }
 
-// deferTime is for how long the kernel holds back a connection on which nothing has come: a crowd of silent clients then takes no
-// descriptors. It counts retransmissions, the first of them a second after the client's first packet.
+// acceptDeferTime is how long the kernel holds back a connection on which no data has arrived, so that a flood of silent
+// clients takes no descriptors. The kernel counts in retransmissions, the first of them a second after the client's first
+// packet.
 const acceptDeferTime = time.Second
 
-// deferAccept has the kernel hold back connections on which nothing has come (TCP_DEFER_ACCEPT, tcp(7)), and tells whether it does.
+// deferAccept has the kernel hold back connections on which no data has arrived (TCP_DEFER_ACCEPT, tcp(7)). It reports whether
+// the kernel does so.
 func deferAccept(ln syscall.Conn) bool {
 	raw, err := ln.SyscallConn()
 	if err != nil {
@@ -130,8 +143,8 @@
 	return err == nil && optErr == nil
 }
 
-// acceptQueue is how many connections wait to be accepted at a listener; 0 where that is not known. Of a listener, TCP_INFO tells this
-// as unacknowledged packets.
+// acceptQueueLength returns how many connections wait to be accepted at a listener; 0 if unknown. For a listener, TCP_INFO has
+// this number in the field of unacknowledged packets.
 func acceptQueueLength(ln *net.TCPListener) (waiting int) {
 	raw, err := ln.SyscallConn()
 	if err != nil {
@@ -139,7 +152,7 @@
 	}
 	q := socketQueries.Get().(*socketQuery)
 	defer socketQueries.Put(q)
-	const tcpStateListen = 10 // of the kernel's states
+	const tcpStateListen = 10 // as TCP_INFO gives it
 	err = raw.Control(func(fd uintptr) {
 		if q.askInfo(fd) && q.info.State == tcpStateListen {
 			waiting = int(q.info.Unacked)
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -1,5 +1,6 @@
-// Listener: where clients connect. This file owns the listener with its count of descriptors, and whether it accepts just now. What
-// becomes of an accepted connection stands in client.go.
+// This file owns the clients' listener: it accepts connections within the limit of descriptors, and can be paused. What
+// happens to an accepted connection is in client.go.
+
 package sidecar
 
 import (
@@ -13,7 +14,8 @@
 	"go.uber.org/zap"
 )
 
-// clientListener is the listener with its count of descriptors. It may be held shut for a while: who connects then waits in the queue.
+// clientListener accepts clients' connections within the limit of descriptors. While it is paused, new connections wait in the
+// kernel's accept queue.
 type clientListener struct {
 	*net.TCPListener
 	descriptors *descriptorLimiter
@@ -22,17 +24,18 @@
 	paused      bool
 	closed      bool
 	openedAt    time.Time
-	lastAccept  atomic.Int64 // when somebody last came, nanoseconds after that
+	lastAccept  atomic.Int64 // time of the last accepted connection, in nanoseconds since openedAt
 	acceptTCP   func() (*net.TCPConn, error)
-	deferring   bool // the kernel holds back connections on which nothing has come
+	deferring   bool // the kernel holds back connections on which no data has arrived
 	log         *zap.Logger
 }
 
-// quiet is how long nobody has come.
+// sinceLastAccept returns the time since the last connection was accepted, or since the listener was opened.
 func (l *clientListener) sinceLastAccept() time.Duration {
 	return time.Since(l.openedAt) - time.Duration(l.lastAccept.Load())
 }
 
+// newClientListener wraps ln and reports the length of its accept queue to s.
 func newClientListener(ln *net.TCPListener, s *descriptorLimiter, log *zap.Logger) *clientListener {
 	l := &clientListener{TCPListener: ln, descriptors: s, openedAt: time.Now(), acceptTCP: ln.AcceptTCP, log: log}
 	l.changed.L = &l.mu
@@ -41,7 +44,7 @@
 	return l
 }
 
-// hold stops accepting, or accepts again.
+// setPaused stops accepting connections, or resumes it.
 func (l *clientListener) setPaused(paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,6 +66,7 @@
 	return l.paused
 }
 
+// Close closes the listening socket and ends Accept, also while paused.
 func (l *clientListener) Close() error {
 	l.mu.Lock()
 	l.closed = true
@@ -71,7 +75,7 @@
 	return l.TCPListener.Close()
 }
 
-// Accept returns the next client. It returns an error only when it is closed.
+// Accept returns the next client's connection. Errors of accept are retried; it returns one only after Close.
 func (l *clientListener) Accept() (net.Conn, error) {
 	retry := acceptRetry{counters: l.descriptors.counters, log: l.log}
 	for {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -1,7 +1,11 @@
-// The loop: one goroutine owns the module, its clock and its timers; sockets reach it through the queue only. It must
-// never wait for a socket, and it decides nothing: it hands events in and carries out what the module asks for.
+// Package sidecar runs the load balancer as a process beside its application: it takes clients' requests over HTTP, sends
+// them to endpoints as the module (package logic) decides, and answers each request once.
 package sidecar
 
+// This file holds the event loop: one goroutine that owns the module, its clock and its timers. Goroutines that serve
+// sockets reach it only through its queues. The loop must never wait for a socket, and it decides nothing: it passes
+// events to the module and carries out what the module asks for.
+
 import (
 	"container/heap"
 	"context"
@@ -19,81 +23,91 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// answer is what a client gets.
+// answer is the final answer to a client.
 type answer struct {
 	status     int
 	header     http.Header
 	body       []byte
 	retryAfter logic.Millis
-	length     int64     // of what flows
-	stream     *bodyPipe // in place of body, for a long one
+	length     int64     // bytes in stream; below 0 if unknown
+	stream     *bodyPipe // in place of body, for an answer that is passed on while it arrives
 }
 
-// exchange is one in hand. The server's goroutine reads answer; all else belongs to the loop once it is queued.
+// exchange is one client request in progress. Once it is queued, all fields but answer and the atomic ones belong to the
+// loop; the goroutine that serves the client's connection receives from answer.
 type exchange struct {
 	id              logic.ExchangeID
 	product         logic.ProductID
 	tenant          logic.TenantID
-	key             logic.KeyID // what it is about, by its client's word; 0 for none
-	cost            float64     // its work by its client's hint; 0 for none
-	deadline        logic.Millis
-	clientTimeout   logic.Millis   // from its last byte
-	bodyPending     bool           // its last byte has not come
-	bodySource      *minRateReader // where the rest comes from
+	key             logic.KeyID    // key of what the request is about, as its client states it; 0 for none
+	cost            float64        // work that the request causes, by its client's hint; 0 for none
+	deadline        logic.Millis   // when the client gives up
+	clientTimeout   logic.Millis   // counts from the request's last byte
+	bodyPending     bool           // the request's last byte has not arrived
+	bodySource      *minRateReader // where the rest of a streamed request is read from
 	request         request
-	answer          chan answer // holds one: the loop never waits for the client
+	answer          chan answer // buffered for the one answer, so that the loop never waits for the client
 	answered        bool
-	lastLegTimedOut bool // its last leg ran out of time
+	lastLegTimedOut bool // the last leg to end had timed out
 	outstandingLegs int
 	legs            []*leg
-	streamedLeg     *leg // whose answer is passed on
+	streamedLeg     *leg // the leg whose answer is passed on while it arrives
 	client          *clientConn
-	clientGone      atomic.Bool // its client has gone: nothing of it is sent on any more
+	clientGone      atomic.Bool // the client has left: nothing more is sent to endpoints for it
 }
 
-// deserted looks whether anybody waits for the answer. A client's end may stand unread behind its request, in a process
-// that stood still or is short of time.
+// abandonedByClient reports whether the client has closed its connection. It also asks the kernel: the end of the
+// connection may wait unread behind the request if the process was stalled or is short of CPU.
 func (x *exchange) abandonedByClient() bool {
 	return injectedFault != "deserted" && x != nil && (x.clientGone.Load() || x.client != nil && x.client.peekState() == connEnded)
 }
 
-// nobody in an answer's place tells the server that its client has left.
+// statusClientLeft in place of an HTTP status tells the client's handler that its client has left.
 const statusClientLeft = 0
 
-// event is something that sockets tell the loop.
+// event is something that is handled in the loop's goroutine.
 type event interface{ handle(l *loop) }
 
 type (
-	arrival    struct{ x *exchange }
+	// arrival is a new exchange.
+	arrival struct{ x *exchange }
+	// clientLeft says that the client closed its connection before its answer.
 	clientLeft struct{ x *exchange }
-	legEnded   struct {
+	// legEnded says that a leg is over, with its answer or its error.
+	legEnded struct {
 		x     *exchange
 		n     logic.LegNo
 		reply *reply
 		fault *legError
 	}
+	// answerStarted says that a leg's answer is to be passed on to the client while it arrives.
 	answerStarted struct {
 		x     *exchange
 		n     logic.LegNo
 		reply *reply
 	}
-	bodyConsumed    struct{ x *exchange }
-	requestSent     struct{ x *exchange }
-	requestReceived struct { // from the client
+	// bodyConsumed says that part of a streamed request has been passed on: the request can't be sent again.
+	bodyConsumed struct{ x *exchange }
+	// requestSent says that the last byte of a streamed request has been written to its endpoint.
+	requestSent struct{ x *exchange }
+	// requestReceived says that the last byte of a streamed request has been read from its client.
+	requestReceived struct {
 		x        *exchange
 		deadline logic.Millis
 	}
-	logView struct{} // what does the module see?
+	// logView asks for the module's view to be logged.
+	logView struct{}
 )
 
-// alarm is a timer of the module or, with an exchange, the moment by which that must have its answer.
+// timer is a timer of the module or, if deadlineOf is set, the time by which that exchange must be answered.
 type timer struct {
 	at         logic.Millis
-	order      uint64
+	order      uint64 // orders timers that fire at the same time
 	id         logic.TimerID
 	deadlineOf *exchange
 }
 
+// timerHeap implements heap.Interface; the next timer to fire comes first.
 type timerHeap []timer
 
 func (a timerHeap) Len() int      { return len(a) }
@@ -109,35 +123,36 @@
 	return x
 }
 
-// publishBeat is how old, in milliseconds, what is published may grow while the loop runs.
+// publishIntervalMs is the least time between two publications of the module's figures while the loop runs.
 const publishIntervalMs = 50
 
-// newsMost are lists and changes that wait for the loop at any time.
+// maxPendingDiscoveryEvents bounds the lists and changes from discovery that wait for the loop.
 const maxPendingDiscoveryEvents = 64
 
-// loggedEndpoints bounds the endpoints that one log line names.
+// maxLoggedEndpoints bounds the endpoints that are named in one log line.
 const maxLoggedEndpoints = 8
 
-// rememberedIDs are the ids of finished exchanges, by which one that comes again is known.
+// maxFinishedIDs bounds the ids of finished exchanges that are kept to recognise repeated requests.
 const maxFinishedIDs = 4096
 
+// loop passes events to the module and carries out its decisions. It implements logic.Outgoing.
 type loop struct {
 	module         *logic.Balancer
 	queue          chan event
 	started        time.Time
-	startedMs      float64
+	startedMs      float64 // Unix time of started
 	now            logic.Millis
-	grace          logic.Millis // past the abandon time, for a leg's time-out to be heard of first
+	grace          logic.Millis // wait beyond an exchange's deadline, so that its leg's time-out is handled first
 	timers         timerHeap
 	timerOrder     uint64
 	exchanges      map[logic.ExchangeID]*exchange
 	finishedIDs    map[logic.ExchangeID]bool
-	finishedRing   [maxFinishedIDs]logic.ExchangeID
-	finishedNext   int
-	unanswered     atomic.Int64 // exchanges without an answer
-	listLoaded     atomic.Bool
-	watchHeard     atomic.Bool // a watch has told a list
-	suspended      atomic.Bool // the lease on the list has ended: no attempt begins
+	finishedRing   [maxFinishedIDs]logic.ExchangeID // the ids in finishedIDs, in the order in which they were added
+	finishedNext   int                              // position in finishedRing of the oldest id, the next to be replaced
+	unanswered     atomic.Int64                     // exchanges without an answer
+	listLoaded     atomic.Bool                      // a list of endpoints is known, from discovery or from the start file
+	watchHeard     atomic.Bool                      // a watch has delivered a list
+	suspended      atomic.Bool                      // the lease on the list has expired: no leg may start
 	upstream       *upstream
 	list           *discoveryClient
 	operatorDrains *hands.DrainStore
@@ -148,18 +163,19 @@
 		events []event
 		wake   chan struct{}
 	}
-	discoverySlots chan struct{} // held by what discovery said and is not booked
+	discoverySlots chan struct{} // one element for each event from discovery that is not handled yet
 	suspendedAt    time.Time
-	changeCount    atomic.Uint64 // of what is known of endpoints and discovery
+	changeCount    atomic.Uint64 // changes to what is known of endpoints and discovery
 	onChange       atomic.Pointer[func()]
-	publishedAt    logic.Millis // when the module's view was last left for others to read
-	openProbes     int          // that are out
+	publishedAt    logic.Millis // when the module's figures were last published
+	openProbes     int          // probes without a result yet
 	counters       *Counters
 	log            *zap.Logger
 	ctx            context.Context
 }
 
-// newLoop starts the module, which may ask for timers and the watch at once; the disk's list comes before all else.
+// newLoop starts the module, which may ask for timers and for the watch at once. The list known from disk is queued before
+// any other event.
 func newLoop(ctx context.Context, terms logic.Terms, known *endpointList, up *upstream, list *discoveryClient, drains *hands.DrainStore,
 	counters *Counters, log *zap.Logger) *loop {
 	l := &loop{
@@ -179,7 +195,7 @@
 	}
 	drains.OnChange = func(id string, out bool) {
 		if out {
-			up.setOperatorDrain(logic.EndpointID(id), true) // at once, whatever waits before it in the queue
+			up.setOperatorDrain(logic.EndpointID(id), true) // takes effect at once, whatever is queued before the event
 		}
 		l.postUrgent(operatorDrainChange{logic.EndpointID(id), out})
 		l.notifySiblings()
@@ -187,14 +203,16 @@
 	return l
 }
 
-// clock is Unix time at the start plus monotonic time: a stepped clock moves no timer.
+// clock returns the Unix time at the start plus the monotonic time since, so that a step of the system clock moves no
+// timer.
 func (l *loop) clock() logic.Millis { return l.at(time.Now()) }
 
+// at converts t to the loop's time.
 func (l *loop) at(t time.Time) logic.Millis {
 	return logic.Millis(l.startedMs + float64(t.Sub(l.started))/float64(time.Millisecond))
 }
 
-// run serves the queue and the timers until ctx ends.
+// run handles events and timers until the loop's context ends.
 func (l *loop) run() {
 	wake := time.NewTimer(0)
 	defer wake.Stop()
@@ -218,7 +236,7 @@
 	}
 }
 
-// postFirst hands over what must not wait behind the queue, and never waits itself.
+// postUrgent posts an event that is handled before what waits in the queue. It never blocks.
 func (l *loop) postUrgent(e event) {
 	l.urgent.Lock()
 	l.urgent.events = append(l.urgent.events, e)
@@ -229,8 +247,8 @@
 	}
 }
 
-// postNews hands over what discovery says, in its order and ahead of the queue: a drain must not wait behind a burst of
-// exchanges that would be sent to the endpoint it takes out. So much may wait, then discovery does.
+// postDiscovery posts an event from discovery, in order and ahead of the queue: a drain must not wait behind a burst of
+// exchanges that would be sent to the draining endpoint. While maxPendingDiscoveryEvents are waiting it blocks.
 func (l *loop) postDiscovery(e event) {
 	select {
 	case l.discoverySlots <- struct{}{}:
@@ -239,7 +257,7 @@
 	}
 }
 
-// told is an event that made others of its kind wait.
+// discoveryEvent is an event that occupies one of the discovery slots until it is handled.
 type discoveryEvent struct{ event }
 
 func (e discoveryEvent) handle(l *loop) {
@@ -247,6 +265,7 @@
 	e.event.handle(l)
 }
 
+// handleUrgent handles all events that postUrgent has queued.
 func (l *loop) handleUrgent() {
 	l.urgent.Lock()
 	events := l.urgent.events
@@ -260,7 +279,7 @@
 	}
 }
 
-// publish leaves for others what only the module knows.
+// publish copies figures that only the module knows to where other goroutines read them.
 func (l *loop) publish() {
 	if l.now-l.publishedAt >= publishIntervalMs {
 		l.publishedAt = l.now
@@ -269,7 +288,8 @@
 	}
 }
 
-// followLease keeps attempts that are still dialling from beginning while the lease on the list is over, and counts those times.
+// trackLease follows whether the lease on the list has expired: while it has, legs that are still dialling must not start.
+// It counts these suspensions and their time.
 func (l *loop) trackLease() {
 	suspended := l.module.Suspended()
 	if l.suspended.Swap(suspended) == suspended {
@@ -283,11 +303,13 @@
 	}
 }
 
+// advanceClock sets the time of the loop and of the module to now.
 func (l *loop) advanceClock() {
 	l.now = l.clock()
 	l.module.SetNow(l.now)
 }
 
+// fireTimers handles all timers that are due.
 func (l *loop) fireTimers() {
 	l.advanceClock()
 	for len(l.timers) > 0 && l.timers[0].at <= l.now {
@@ -302,6 +324,7 @@
 	}
 }
 
+// exchangeOf returns the exchange that a panic in handling e would concern, nil for none.
 func exchangeOf(e event) *exchange {
 	switch e := e.(type) {
 	case arrival:
@@ -316,12 +339,13 @@
 	return nil
 }
 
-// guarded keeps a panic to the exchange that it came with: the others must still get their answers.
+// runGuarded runs f and recovers from a panic in it. Only exchange x, if any, is then failed; the others must still get
+// their answers.
 func (l *loop) runGuarded(x *exchange, f func()) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			l.counters.panics.Add(1)
-			l.log.Error("panic in the loop", zap.String("fault", fmt.Sprint(fault)), zap.Stack("stack"))
+			l.log.Error("panic in the event loop; the exchange of this event, if any, fails", zap.String("fault", fmt.Sprint(fault)), zap.Stack("stack"))
 			if x != nil && !x.answered {
 				l.sendAnswer(x, answer{status: http.StatusBadGateway})
 				l.runGuarded(nil, func() { l.module.ClientLeft(x.id) })
@@ -332,7 +356,7 @@
 	f()
 }
 
-// post hands an event to the loop; after its end nobody waits.
+// post queues an event for the loop. After the loop's end it drops the event instead of blocking.
 func (l *loop) post(e event) {
 	select {
 	case l.queue <- e:
@@ -340,12 +364,13 @@
 	}
 }
 
-// ---- what comes in
+// ---- events
 
+// handle takes a new exchange, or answers 409 if its id is that of another exchange in progress or finished recently.
 func (e arrival) handle(l *loop) {
 	x := e.x
 	if before := l.exchanges[x.id]; before != nil && before.abandonedByClient() {
-		clientLeft{before}.handle(l) // its connection broke: this is the same request, sent once more
+		clientLeft{before}.handle(l) // the first connection broke, and the client sends the same request again
 	}
 	if l.exchanges[x.id] != nil || l.finishedIDs[x.id] {
 		l.counters.badInput.Add(1)
@@ -359,6 +384,7 @@
 	l.module.Arrive(x.id, x.product, x.tenant, x.key, x.deadline, x.cost, x.bodyPending)
 }
 
+// handle ends an exchange that is not answered yet. Its legs that have not started are not sent.
 func (e clientLeft) handle(l *loop) {
 	if injectedFault == "deserted" {
 		e.x.clientGone.Store(false)
@@ -376,18 +402,20 @@
 	l.removeFinished(e.x)
 }
 
-// overdue answers what is still without an answer when its client gives up, so that none is ever lost. A leg's time-out
-// should come first: the module would not learn of it from an exchange that has left.
+// answerOverdue answers an exchange that has no answer when its client gives up, so that no exchange is ever lost. It runs
+// after the grace, so that a leg's time-out normally comes first: the module would not hear of the time-out of an exchange
+// that it has been told to drop.
 func (l *loop) answerOverdue(x *exchange) {
 	if x.answered {
 		return
 	}
 	if x.bodyPending && x.outstandingLegs > 0 {
-		l.addTimer(timer{at: l.now + l.grace + 500, deadlineOf: x}) // its time does not run yet; its pace bounds it
+		// The client's timeout does not run yet; the minimum body rate bounds the wait.
+		l.addTimer(timer{at: l.now + l.grace + 500, deadlineOf: x})
 		return
 	}
 	if l.now < x.deadline+l.grace {
-		return // another alarm is set: its time began later than it seemed
+		return // the deadline was moved when the request's last byte arrived, and a later timer is set
 	}
 	l.counters.overdue.Add(1)
 	l.logNotServed(x, "request overdue", logic.LegsFailed)
@@ -396,7 +424,8 @@
 	l.removeFinished(x)
 }
 
-// hasten has whatever is held answered by the time SIGKILL may come, however much longer its client would wait.
+// capDeadlines brings the deadlines of unanswered exchanges forward to the time at which SIGKILL may come, however long
+// their clients would wait.
 func (l *loop) capDeadlines(by logic.Millis) {
 	for _, x := range l.exchanges {
 		if !x.answered && !x.bodyPending && x.deadline > by {
@@ -406,7 +435,7 @@
 	}
 }
 
-// legBegan hands a long answer to the client from its first bytes on. The first one wins.
+// handle starts to pass on a long answer to the client. The first leg that gets this far wins; the others are cancelled.
 func (e answerStarted) handle(l *loop) {
 	x := e.x
 	if x.answered || l.exchanges[x.id] != x {
@@ -425,6 +454,7 @@
 	}
 }
 
+// handle sets the exchange's deadline, which counts from the request's last byte.
 func (e requestReceived) handle(l *loop) {
 	if x := e.x; l.exchanges[x.id] == x && x.bodyPending {
 		x.bodyPending, x.deadline = false, e.deadline
@@ -432,6 +462,7 @@
 	}
 }
 
+// handle restarts the time of the exchange's leg: the endpoint's latency counts from the request's last byte.
 func (e requestSent) handle(l *loop) {
 	if x := e.x; l.exchanges[x.id] == x {
 		for _, g := range x.legs {
@@ -443,6 +474,7 @@
 	}
 }
 
+// handle passes a leg's outcome to the module, and the first successful answer to the client.
 func (e legEnded) handle(l *loop) {
 	x, g, outcome := e.x, e.x.legs[e.n], logic.Succeeded
 	if g.reported {
@@ -466,7 +498,7 @@
 	}
 	took := l.now - g.sentAt
 	if x.bodyPending {
-		took = 0 // the client's time, not the endpoint's
+		took = 0 // the request is still arriving: the time is the client's, not the endpoint's
 	}
 	if g == x.streamedLeg {
 		took = g.answerStartedAfter
@@ -474,7 +506,7 @@
 	l.module.LegEnded(x.id, e.n, outcome, took, x.answered && (x.streamedLeg == nil || x.streamedLeg == g))
 }
 
-// faultOf keeps a missing fault from becoming an error that holds nothing.
+// errorOf converts e to an error. A nil *legError becomes a nil error, not an interface that holds a nil pointer.
 func errorOf(e *legError) error {
 	if e == nil {
 		return nil
@@ -484,9 +516,9 @@
 
 func (logView) handle(l *loop) { l.log.Debug("view", zap.Any("of", l.module.View())) }
 
-// ---- what the module asks for
+// ---- requests of the module (logic.Outgoing)
 
-// Send starts a leg; whatever becomes of it, one legOver comes back.
+// Send starts a leg. However the leg ends, exactly one legEnded is posted for it.
 func (l *loop) Send(id logic.ExchangeID, to logic.EndpointID, giveUpAfter logic.Millis) {
 	x := l.exchanges[id]
 	if x == nil {
@@ -504,7 +536,7 @@
 	n := logic.LegNo(len(x.legs))
 	x.legs = append(x.legs, g)
 	x.outstandingLegs++
-	if line := l.log.Check(zap.DebugLevel, "attempt begins"); line != nil {
+	if line := l.log.Check(zap.DebugLevel, "leg starts"); line != nil {
 		line.Write(zap.String("id", string(id)), zap.Int("attempt", int(n)), zap.Int("others_out", x.outstandingLegs-1), zap.String("endpoint", string(to)),
 			zap.Float64("gives_up_after_ms", float64(giveUpAfter)), zap.Float64("left_ms", float64(remaining)))
 	}
@@ -523,7 +555,7 @@
 		defer func() {
 			if fault := recover(); fault != nil {
 				l.counters.panics.Add(1)
-				l.log.Error("panic in a leg", zap.String("fault", fmt.Sprint(fault)), zap.Stack("stack"))
+				l.log.Error("panic in a leg; it counts as reset by the endpoint", zap.String("fault", fmt.Sprint(fault)), zap.Stack("stack"))
 				over.reply, over.fault = nil, &legError{stage: written, outcome: logic.Reset}
 			}
 			if over.fault != nil && over.fault.cause == errClientGone {
@@ -537,7 +569,9 @@
 	}()
 }
 
-// schedule tells a leg when its answer is passed on at the latest, and whether a pause in it may be used for another leg.
+// setLegBounds sets what a leg has to keep to by its exchange's product: whether its endpoint's placement matters, whether
+// a pause in its answer is waited out since no other leg could repeat the request, the latest time for the first byte of its
+// request, and the time from which an answer of unknown length is passed on while it arrives.
 func (l *loop) setLegBounds(x *exchange, g *leg) {
 	if x.product < 0 || int(x.product) >= len(l.products) {
 		g.waitsThroughPauses = true
@@ -547,7 +581,7 @@
 	g.localityBound = p.Bound()
 	g.waitsThroughPauses = p.Effect == logic.SingleUse
 	if p.Effect == logic.Deduplicated && p.DedupMemory > 0 {
-		for _, earlier := range x.legs { // the first that may have run
+		for _, earlier := range x.legs { // the first leg that may have run: the idempotency key is remembered from then on
 			if !earlier.neverRan {
 				g.latestStart = l.started.Add(toDuration(earlier.sentAt - logic.Millis(l.startedMs) + p.DedupMemory*repeatWindowShare))
 				break
@@ -559,12 +593,14 @@
 	}
 }
 
+// Cancel cancels a leg.
 func (l *loop) Cancel(id logic.ExchangeID, n logic.LegNo) {
 	if x := l.exchanges[id]; x != nil && int(n) < len(x.legs) {
 		x.legs[n].cancel()
 	}
 }
 
+// Shed answers an exchange as shed: refused, with the promise that nothing ran, and a time after which to retry.
 func (l *loop) Shed(id logic.ExchangeID, why logic.Reason, comeBackAfter logic.Millis) {
 	if x := l.exchanges[id]; x != nil && !x.answered {
 		l.counters.givenUpByReason[why].Add(1)
@@ -574,6 +610,7 @@
 	}
 }
 
+// Fail answers an exchange as failed: 504 if its last leg timed out, 502 otherwise.
 func (l *loop) Fail(id logic.ExchangeID, why logic.Reason) {
 	if x := l.exchanges[id]; x != nil && !x.answered {
 		l.counters.givenUpByReason[why].Add(1)
@@ -587,7 +624,7 @@
 	}
 }
 
-// logGivenUp tells at debug level why a request gets no endpoint's answer.
+// logNotServed logs at debug level why a request gets no endpoint's answer.
 func (l *loop) logNotServed(x *exchange, message string, reason logic.Reason) {
 	if line := l.log.Check(zap.DebugLevel, message); line != nil {
 		line.Write(zap.String("id", string(x.id)), zap.String("reason", reasonNames[reason]), zap.Int("attempts", len(x.legs)),
@@ -595,13 +632,15 @@
 	}
 }
 
+// Sets a timer of the module.
 func (l *loop) SetTimer(after logic.Millis, t logic.TimerID) {
 	l.addTimer(timer{at: l.now + after, id: t})
 }
 
+// Watch calls discovery for the list.
 func (l *loop) Watch() {
 	maxOpenCalls := logic.MaxOpenCalls
-	if l.module != nil && l.module.Suspended() { // it calls first while it starts
+	if l.module != nil && l.module.Suspended() { // module is nil when logic.New makes the first call
 		maxOpenCalls = logic.MaxOpenCallsSuspended
 	}
 	if !l.list.startCall(l.ctx, maxOpenCalls, l.postDiscovery) {
@@ -614,13 +653,15 @@
 	if further {
 		l.counters.parallelListCalls.Add(1)
 	}
-	l.log.Debug("discovery is called", zap.String("addr", l.list.addr), zap.Int("call", l.list.lastCall), zap.Int64("after", l.list.version))
+	l.log.Debug("calling discovery for the list", zap.String("addr", l.list.addr), zap.Int("call", l.list.lastCall), zap.Int64("after", l.list.version))
 }
 
+// Logs a line of the module.
 func (l *loop) Note(line string) { l.log.Info(line) }
 
-// ---- its own books
+// ---- timers and exchanges
 
+// addTimer sets a timer. A time that is not a number is ignored.
 func (l *loop) addTimer(a timer) {
 	if math.IsNaN(float64(a.at)) {
 		return
@@ -630,7 +671,7 @@
 	heap.Push(&l.timers, a)
 }
 
-// reply gives the one answer that an exchange gets.
+// sendAnswer sends and counts an exchange's answer, unless the exchange is answered already.
 func (l *loop) sendAnswer(x *exchange, a answer) {
 	if x.answered {
 		return
@@ -643,10 +684,11 @@
 	default:
 		l.counters.failed.Add(1)
 	}
-	l.markAnswered(x) // before the answer is on its way: from then on no attempt may begin for it
+	l.markAnswered(x) // before the answer is sent: from then on no leg may start for the exchange
 	x.answer <- a
 }
 
+// markAnswered marks an exchange as answered and keeps its legs that have not started from starting.
 func (l *loop) markAnswered(x *exchange) {
 	x.answered = true
 	l.unanswered.Add(-1)
@@ -655,16 +697,17 @@
 	}
 }
 
-// forget lets go of what is answered and has no leg out, but remembers its id.
+// removeFinished releases an exchange that is answered and has no outstanding leg. Its id is kept, so that a repeated
+// request is recognised.
 func (l *loop) removeFinished(x *exchange) {
 	if !x.answered || x.outstandingLegs > 0 || l.exchanges[x.id] != x {
 		return
 	}
 	delete(l.exchanges, x.id)
 	ran := slices.ContainsFunc(x.legs, func(g *leg) bool { return !g.neverRan })
-	x.request, x.legs = request{}, nil // the alarm of its abandon time keeps x, and would keep the body as long
+	x.request, x.legs = request{}, nil // the timer of its deadline still refers to x and would keep the body as long
 	if x.clientGone.Load() && !ran {
-		return // nothing of it was ever sent: should its client come again on a new connection, that is the first time
+		return // nothing was ever sent to an endpoint: if its client repeats it on a new connection, it is served as new
 	}
 	delete(l.finishedIDs, l.finishedRing[l.finishedNext])
 	l.finishedRing[l.finishedNext] = x.id
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -1,5 +1,7 @@
-// Request: from a client's HTTP request to an exchange. This file owns what a request must say to be one, which of its headers are passed
-// on, and from when its time counts. It must never pass on what another reader may frame otherwise.
+// This file turns a client's HTTP request into an exchange. It owns what a request must state to be accepted, which of its
+// headers are passed on, and from when its timeout counts. It must never pass on a request that another HTTP parser may frame
+// differently.
+
 package sidecar
 
 import (
@@ -18,16 +20,17 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// dropped are headers of one connection only, and those that this program writes itself.
+// notForwarded are hop-by-hop headers, and those that the sidecar writes itself.
 var notForwarded = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true, "Te": true,
 	"Trailer": true, "Upgrade": true, "Expect": true, "Content-Length": true, "Request-Timeout": true,
 }
 
-// kept are headers that are passed on even if a client names them as of one hop.
+// alwaysForwarded are headers that are passed on even if a client declares them hop-by-hop in Connection.
 var alwaysForwarded = map[string]bool{"Request-Id": true, "Idempotency-Key": true, "Request-Class": true}
 
-// read makes an exchange of a request, or says why it is none.
+// readExchange reads a request into an exchange. If the request is not acceptable, x is nil, and status and reason are the
+// answer.
 func (s *clientServer) readExchange(w http.ResponseWriter, r *http.Request, receivedAt time.Time) (x *exchange, status int, reason string) {
 	id, timeout := r.Header.Values("Request-Id"), parseTimeout(r.Header.Values("Request-Timeout"))
 	class, product, named := s.productOf(r)
@@ -39,12 +42,13 @@
 	case timeout <= 0:
 		return nil, http.StatusBadRequest, "one Request-Timeout is needed, such as 480m or 480000u"
 	case !named:
-		return nil, http.StatusNotFound, "class and path must name one product" // endpoints would serve it, or void it
+		return nil, http.StatusNotFound, "class and path must name one product" // endpoints would serve it all the same, or void it
 	case r.ContentLength > maxStreamedBytes:
 		return nil, http.StatusRequestEntityTooLarge, "body too long"
 	}
 	if limit := s.maxTimeout(product); limit > 0 {
-		timeout = min(timeout, limit) // nobody is promised more, and exchange, body and alarm would stay as long
+		// No client is promised a longer wait, and the exchange, its body and its timer would be kept as long.
+		timeout = min(timeout, limit)
 	}
 	control := http.NewResponseController(w)
 	source := &minRateReader{source: r.Body, control: control, startBy: receivedAt.Add(bodyStartTimeout)}
@@ -72,7 +76,8 @@
 			}
 		}
 	}
-	// An answer that keeps to a time counted from the end of a standstill, or of a wait to be accepted, comes too late.
+	// The timeout counts from when the request arrived: counted from the end of a stall of the process, or of the wait to be
+	// accepted, it would let the answer come too late.
 	conn, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	completeAt = conn.earlierReceipt(completeAt.Add(-s.stalls.readDelay(completeAt.Sub(s.loop.started))))
 	var netErr net.Error
@@ -90,7 +95,7 @@
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, target, r.Host)
 	for _, list := range r.Header.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
-			// Never what tells repeats apart: without it the endpoint would let an effect happen twice.
+			// Headers that identify a repeated request are not removed: without them an endpoint would apply its effect twice.
 			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); !alwaysForwarded[name] {
 				r.Header.Del(name)
 			}
@@ -112,13 +117,13 @@
 		request: request{method: r.Method, product: class, head: head.Bytes(), body: body, remaining: rest},
 	}
 	if rest != nil {
-		control.EnableFullDuplex() // an answer may come before the request's end
+		control.EnableFullDuplex() // an answer may be written before the request's end
 		x.bodySource = source
 	}
 	return x, 0, ""
 }
 
-// costHint finds the work in a request's further figures; what is no positive number is no hint.
+// costHint returns the work that Request-Info states as cost; 0 if it is not a positive finite number.
 func costHint(info string) float64 {
 	if cost, err := strconv.ParseFloat(infoValue(info, "cost"), 64); err == nil && cost > 0 && !math.IsInf(cost, 0) {
 		return cost
@@ -126,7 +131,7 @@
 	return 0
 }
 
-// figure is the value of a request's further figure, "" if it has none of that name.
+// infoValue returns the value of a name in Request-Info (name=value, separated by commas); "" if it has none.
 func infoValue(info, name string) string {
 	for part := range strings.SplitSeq(info, ",") {
 		if key, value, _ := strings.Cut(strings.TrimSpace(part), "="); key == name {
@@ -136,8 +141,9 @@
 	return ""
 }
 
-// product is named by class and path. It is taken for unknown, and so for single-use, unless the method agrees too: what is
-// repeated by mistake has two effects.
+// productOf finds the product that class and path name; named is false if they do not name the same one. class is that
+// product. p, by which the exchange is treated, is -1 (unknown, and so single-use) unless method and Idempotency-Key fit the
+// product too: a request that is repeated by mistake has its effect twice.
 func (s *clientServer) productOf(r *http.Request) (class, p logic.ProductID, named bool) {
 	pathRoot, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	name := pathRoot
@@ -156,7 +162,7 @@
 	return p, p, true
 }
 
-// longest is how long the product's clients wait at the most; for an unknown one, that of any.
+// maxTimeout returns how long clients of a product wait at most; for an unknown product, the longest of all products.
 func (s *clientServer) maxTimeout(p logic.ProductID) (limit logic.Millis) {
 	if p >= 0 {
 		return s.products[p].Abandon
@@ -167,7 +173,8 @@
 	return limit
 }
 
-// duration reads a number with its unit; 0 stands for anything that is none.
+// parseTimeout parses the one value of Request-Timeout: a decimal number with the unit m (milliseconds) or u (microseconds).
+// It returns 0 for anything else.
 func parseTimeout(values []string) logic.Millis {
 	if len(values) != 1 || len(values[0]) < 2 {
 		return 0
@@ -175,7 +182,7 @@
 	last := len(values[0]) - 1
 	n, err := strconv.ParseFloat(values[0][:last], 64)
 	if strings.Trim(values[0][:last], "0123456789.") != "" {
-		return 0 // 1e3, 0x1p4, +5: nobody means these
+		return 0 // ParseFloat also accepts 1e3, 0x1p4 and +5, which no client means
 	}
 	if values[0][last] == 'u' {
 		n /= 1000
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -1,5 +1,7 @@
-// Server: the application's side. This file owns the listener, the reading of requests into exchanges and the writing
-// of their one answer. It must never answer twice, pass on part of an answer, or choose what becomes of an exchange.
+// This file serves the application's side: it owns the HTTP server, the reading of requests into exchanges and the writing
+// of the one answer to each. It must never answer twice, present part of an answer as whole, or decide what becomes of an
+// exchange.
+
 package sidecar
 
 import (
@@ -21,13 +23,13 @@
 )
 
 const (
-	answerWriteTimeout       = 5 * time.Second // for an answer to be taken
-	maxRequestIDBytes        = 200             // bytes: ids are remembered
-	maxClientTimeoutMs       = 3600 * 1000.    // milliseconds; a client that says it waits longer is mistaken
-	defaultRetryAfterSeconds = "0.500"         // seconds, where there is no room to ask the module
+	answerWriteTimeout       = 5 * time.Second // for the client to take an answer
+	maxRequestIDBytes        = 200             // bounded since ids are kept after their exchanges
+	maxClientTimeoutMs       = 3600 * 1000.    // a longer Request-Timeout is taken for a client's mistake
+	defaultRetryAfterSeconds = "0.500"         // in refusals for lack of capacity, which the module is not asked about
 )
 
-// front answers clients.
+// clientServer answers clients' requests.
 type clientServer struct {
 	loop                 *loop
 	names                *terms.Names
@@ -36,26 +38,32 @@
 	counters             *Counters
 	log                  *zap.Logger
 	listener             atomic.Pointer[clientListener]
-	pair                 *processGroup             // nil where no other process may come
-	accepting            atomic.Bool               // the door takes clients
-	replaced             atomic.Bool               // another process has the door
-	activeHandlers       atomic.Int64              // requests whose head was read and that are not ended
-	transfers            atomic.Int64              // of these, long requests that still come and long answers on their way
-	activeRequests       atomic.Int64              // requests taken and not ended, answers on their way included
-	shutdownBy           atomic.Pointer[time.Time] // once ending: nobody waits longer, and after it nothing is taken
+	pair                 *processGroup             // other processes of this sidecar during an upgrade; nil if there can be none
+	accepting            atomic.Bool               // the listening socket accepts clients
+	replaced             atomic.Bool               // another process has taken over the listening socket
+	activeHandlers       atomic.Int64              // requests whose head was read and whose handler has not returned
+	transfers            atomic.Int64              // streamed requests that are still arriving, and streamed answers in progress
+	activeRequests       atomic.Int64              // requests read whole and not finished, until their answers are written
+	shutdownBy           atomic.Pointer[time.Time] // set at shutdown: the latest deadline; no request is accepted after it
 	stalls               stallDetector
-	bodyBytes            atomic.Int64 // bytes of requests in hand
+	bodyBytes            atomic.Int64 // buffered for the bodies in progress
 	maxBodyBytesTotal    int64
-	maxBufferedBodyBytes int64 // bytes of a request that is kept whole
+	maxBufferedBodyBytes int64 // a longer request is streamed
 }
 
-// pace notices when the process stood still, be it stopped or without a core: what is read just after may have come
-// just before, and its client's time has run on. All times are since the loop started.
-type stallDetector struct{ lastTick, stallEnd, stallLength atomic.Int64 }
+// stallDetector notices when the whole process stalled, because it was stopped or had no CPU: what is read just after a
+// stall may have arrived just before it, and its client's timeout has been running meanwhile. All times are durations since
+// the loop started.
+type stallDetector struct {
+	lastTick    atomic.Int64
+	stallEnd    atomic.Int64
+	stallLength atomic.Int64
+}
 
 const stallTickInterval = 20 * time.Millisecond
 
-// beat is called every paceBeat, and tells whether it came far too late.
+// tick must be called every stallTickInterval. It reports whether this call came more than twice that after the last one,
+// which is a stall.
 func (p *stallDetector) tick(now time.Duration) bool {
 	gap := now - time.Duration(p.lastTick.Swap(int64(now)))
 	if gap <= 2*stallTickInterval {
@@ -66,18 +74,19 @@
 	return true
 }
 
-// behind is how long ago something that is read now may have come.
+// readDelay returns for how long data that is read now may have been waiting because of a stall.
 func (p *stallDetector) readDelay(now time.Duration) time.Duration {
 	if gap := now - time.Duration(p.lastTick.Load()); gap > 2*stallTickInterval {
 		return gap
 	}
 	since := now - time.Duration(p.stallEnd.Load())
 	if length := time.Duration(p.stallLength.Load()); length > 0 && since <= 2*stallTickInterval {
-		return max(length+since, 0) // a beat may have come since now was read
+		return max(length+since, 0) // a tick may have been recorded since now was read
 	}
 	return 0
 }
 
+// detectStalls drives the stall detector and counts stalls until ctx ends.
 func (s *clientServer) detectStalls(ctx context.Context) {
 	ticks := time.NewTicker(stallTickInterval)
 	defer ticks.Stop()
@@ -94,34 +103,37 @@
 	}
 }
 
-// serves tells whether all clients may come here alone.
+// servesAlone reports whether this process can serve all clients without the other processes of an upgrade.
 func (s *clientServer) servesAlone() bool {
 	return s.acceptsExchanges() && (s.pair == nil || s.pair.predecessorDrained())
 }
 
-// takes tells whether an exchange that comes now would find all it needs.
+// acceptsExchanges reports whether a request that arrives now can be served: the listener is open, a list of endpoints is
+// known, the process is not ending, and what it took over from a predecessor is confirmed.
 func (s *clientServer) acceptsExchanges() bool {
 	return s.accepting.Load() && s.loop.listLoaded.Load() && s.shutdownBy.Load() == nil && (s.pair == nil || s.pair.listConfirmed())
 }
 
-// yields tells whether a new process takes the clients, and kept connections should go there.
+// handsOver reports whether a new process accepts the clients. Answers then close kept-alive connections, so that their
+// clients connect to that process.
 func (s *clientServer) handsOver() bool {
 	listener := s.listener.Load()
 	return listener != nil && listener.isPaused()
 }
 
+// clientConnKey is the context key of a request's clientConn.
 type clientConnKey struct{}
 
-// httpServer wires net/http to it.
+// httpServer returns the net/http server for clients.
 func (s *clientServer) httpServer() *http.Server {
 	errorLog, _ := zap.NewStdLogAt(s.log, zap.WarnLevel)
 	return &http.Server{
 		Handler: s, ReadTimeout: headReadTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeadBytes,
-		ErrorLog: errorLog, DisableGeneralOptionsHandler: true, // which answers OPTIONS * with 200
+		ErrorLog: errorLog, DisableGeneralOptionsHandler: true, // that handler answers OPTIONS * with 200
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, clientConnKey{}, c)
 		},
-		// Broken framing is answered 400 by net/http without a handler; it is counted here.
+		// Net/http answers broken framing with 400 and calls no handler, so that it is counted here.
 		ConnState: func(c net.Conn, state http.ConnState) {
 			switch conn, _ := c.(*clientConn); {
 			case conn == nil:
@@ -135,6 +147,7 @@
 	}
 }
 
+// ServeHTTP serves one request: it reads an exchange, posts it to the loop and writes the answer.
 func (s *clientServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	receivedAt := time.Now()
 	conn, _ := r.Context().Value(clientConnKey{}).(*clientConn)
@@ -147,10 +160,10 @@
 	defer func() {
 		if fault := recover(); fault != nil {
 			if fault == http.ErrAbortHandler {
-				panic(fault) // no defect: the connection is broken off
+				panic(fault) // not a defect: it makes net/http break the connection
 			}
 			s.counters.panics.Add(1)
-			s.log.Error("panic at a connection", zap.String("fault", fmt.Sprint(fault)), zap.Stack("stack"))
+			s.log.Error("panic while serving a client's request", zap.String("fault", fmt.Sprint(fault)), zap.Stack("stack"))
 			if x != nil {
 				s.loop.post(clientLeft{x})
 			}
@@ -162,7 +175,8 @@
 			s.counters.product(class).countAnswer(http.StatusBadGateway)
 		}
 	}()
-	// Behind a body in chunks, or by the old protocol, nothing is read that might have been hidden in it.
+	// After a chunked body or an HTTP/1.0 request the connection is closed: what follows might be a request smuggled in the
+	// body.
 	if s.shutdownBy.Load() != nil || s.handsOver() || s.descriptors.keepAliveExceeded() || len(r.TransferEncoding) > 0 || !r.ProtoAtLeast(1, 1) {
 		w.Header().Set("Connection", "close")
 	}
@@ -181,7 +195,7 @@
 	}
 	size := r.ContentLength
 	if size < 0 || size > s.maxBufferedBodyBytes {
-		size = maxBufferedBodyBytes + pipeBytes // what is kept of a long one at any time
+		size = maxBufferedBodyBytes + pipeBytes // a streamed body's buffers hold no more at any time
 	}
 	if r.ContentLength <= maxStreamedBytes {
 		defer s.bodyBytes.Add(-size)
@@ -201,18 +215,18 @@
 		return
 	}
 	if end := s.shutdownBy.Load(); end != nil {
-		x.deadline = min(x.deadline, s.loop.at(*end)) // SIGKILL may follow
+		x.deadline = min(x.deadline, s.loop.at(*end)) // SIGKILL may follow then
 	}
 	if x.deadline <= s.loop.at(receivedAt) || conn != nil && !conn.enterPhase(phaseBusy) {
 		s.refuseOverCapacity(w, r)
 		return
 	}
 	if x.client = conn; x.abandonedByClient() {
-		s.counters.clientsLeft.Add(1) // while it was read
+		s.counters.clientsLeft.Add(1) // the client left while its request was read
 		answer{status: http.StatusBadGateway}.write(w)
 		return
 	}
-	class = x.request.product // the loop owns the rest from here on
+	class = x.request.product // read before the post: from then on the loop owns x
 	rest, source := x.request.remaining, x.bodySource
 	s.loop.post(arrival{x})
 	var bodyDone chan error
@@ -230,18 +244,18 @@
 	for {
 		clientDone := r.Context().Done()
 		if bodyDone != nil {
-			clientDone = nil // net/http ends the context when the body breaks off, of which the pump knows more
+			clientDone = nil // net/http also ends the context when the body breaks off, and receiveBody reports that more precisely
 		}
 		select {
 		case a := <-x.answer:
 			if bodyDone != nil {
-				// Before its end: what is left of it is read for a while, by its pump alone and not once the handler has
-				// ended, and nothing behind it.
+				// The answer came before the request's end. The rest of the request is read for a while, by receiveBody only
+				// and not after the handler has returned; what follows it on the connection is not read.
 				w.Header().Set("Connection", "close")
 				defer func() { <-bodyDone }()
 				rest.discard()
 			}
-			if a.status == statusClientLeft { // the loop was told that the client has left
+			if a.status == statusClientLeft {
 				answer{status: http.StatusBadGateway}.write(w)
 				return
 			}
@@ -250,13 +264,13 @@
 			}
 			headWritten = true
 			if s.shutdownBy.Load() != nil || s.handsOver() {
-				w.Header().Set("Connection", "close") // it may have come to that while it waited
+				w.Header().Set("Connection", "close") // the shutdown or handover may have begun since the check above
 			}
 			s.writeAnswer(w, a, class)
 			return
 		case err := <-bodyDone:
 			bodyDone = nil
-			if err == nil { // taken only now
+			if err == nil { // the request is whole only now
 				s.activeRequests.Add(1)
 				defer s.activeRequests.Add(-1)
 				continue
@@ -271,9 +285,9 @@
 			http.Error(w, "the body did not come whole", status)
 			return
 		case <-clientDone:
-			x.clientGone.Store(true) // at once, whatever waits in the queue
+			x.clientGone.Store(true) // takes effect at once, whatever waits in the loop's queue
 			s.loop.post(clientLeft{x})
-			// Net/http answers 200 for a handler that says nothing, and one that closed its sending only would take that
+			// Net/http answers 200 if a handler writes nothing, and a client that closed only its sending side would take that
 			// empty answer for an endpoint's.
 			answer{status: http.StatusBadGateway}.write(w)
 			return
@@ -281,7 +295,7 @@
 	}
 }
 
-// give writes the answer, and counts it under its class once it is written.
+// writeAnswer writes the answer and then counts it under its class.
 func (s *clientServer) writeAnswer(w http.ResponseWriter, a answer, class logic.ProductID) {
 	if a.stream == nil {
 		a.write(w)
@@ -299,16 +313,17 @@
 		s.counters.product(class).countAnswer(a.status)
 	case err != nil:
 		s.counters.streamsBroken.Add(1)
-		s.log.Debug("a long answer broke off", zap.Error(err))
+		s.log.Debug("streamed answer from the endpoint broke off; closing the client's connection", zap.Error(err))
 		s.counters.product(class).countAnswer(http.StatusBadGateway)
-		panic(http.ErrAbortHandler) // the client must see that it is not whole
-	default: // the client went away
+		panic(http.ErrAbortHandler) // breaks the connection: the client must see that the answer is incomplete
+	default: // the client left
 		s.counters.clientsLeft.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// turnAway answers what there is no room to take in: read first, or the client would find its connection broken.
+// refuseOverCapacity answers 503 to a request for which there is no capacity. It reads the request first: the client would
+// otherwise find its connection reset.
 func (s *clientServer) refuseOverCapacity(w http.ResponseWriter, r *http.Request) {
 	s.counters.rejected.Add(1)
 	if len(r.Header["Request-Id"]) == 1 {
@@ -321,8 +336,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// hangUpAfter closes the connection behind the answer. Net/http else reads on, before or after it, for a body that may
-// never come, and a prompt answer would wait for that.
+// closeAfterAnswer has the connection closed after the answer. Otherwise net/http reads on, before or after the answer, for
+// a body that may never arrive, and a prompt answer would be delayed by that.
 func closeAfterAnswer(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	control := http.NewResponseController(w)
@@ -330,7 +345,7 @@
 	control.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 }
 
-// write sends an answer off, whole.
+// write writes a buffered answer.
 func (a answer) write(w http.ResponseWriter) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 	a.setHeaders(w.Header())
@@ -339,6 +354,7 @@
 	w.Write(a.body)
 }
 
+// setHeaders sets an answer's headers, without those that concern one connection or the sidecar only.
 func (a answer) setHeaders(h http.Header) {
 	for name, values := range a.header {
 		if !notForwarded[name] && name != "Server-Load" && name != "Not-Started" {
@@ -346,7 +362,7 @@
 		}
 	}
 	if a.status == http.StatusOK && h["Content-Type"] == nil {
-		h["Content-Type"] = nil // unchanged: no type is guessed
+		h["Content-Type"] = nil // the answer has none: net/http must not guess one
 	}
 	if a.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(float64(a.retryAfter)/1000, 'f', 3, 64))
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -31,7 +31,7 @@
 	`{"name":"save","effect":"dedup","dedup-scope":"all","key-ttl":9000.0,"expected-time":500.0,"abandon-time":1000.0,` +
 	`"value":1.0,"overdue-value":0.5}]}}`
 
-// running is one sidecar in this process, with the discovery that it asks.
+// testSidecar is a sidecar that runs in the test's process.
 type testSidecar struct {
 	*testing.T
 	addr   string
@@ -41,14 +41,17 @@
 	ended  chan error
 }
 
+// listText is a list as discovery sends it.
 func listText(version int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 }
 
+// entryText is an entry of such a list.
 func entryText(id, addr, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","cell":1,"state":%q,"weight":1.0,"started_ms":0}`, id, addr, state)
 }
 
+// listOf is a full list of endpoints in service, with the ids s0, s1, ...
 func listOf(endpoints ...net.Listener) string {
 	entries := []string{}
 	for n, e := range endpoints {
@@ -57,6 +60,7 @@
 	return listText(1, true, entries...)
 }
 
+// startSidecar starts a sidecar that knows list; configure may change its settings first.
 func startSidecar(t *testing.T, list string, configure func(*Config)) *testSidecar {
 	text := strings.NewReplacer("%KNOWN%", list, "%SOCKETS%", "1024").Replace(startText)
 	s, err := Decode([]byte(text))
@@ -84,7 +88,7 @@
 	return r
 }
 
-// ask writes one request on a new connection; more headers go into extra.
+// requestText is the head of a request with a timeout of 900 ms; extra holds further headers.
 func requestText(id, method, path, extra string) string {
 	class, _, _ := strings.Cut(path, "/")
 	return fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: %s\r\n"+
@@ -99,7 +103,7 @@
 	return c
 }
 
-// exchangeOn writes text on c and reads an answer and its body; nil is none.
+// exchangeOn writes text on c and reads an answer and its body; nil and the error's text if there is no answer.
 func exchangeOn(c net.Conn, text string) (*http.Response, string) {
 	c.Write([]byte(text))
 	got, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -110,6 +114,7 @@
 	return got, string(body)
 }
 
+// status sends text on a new connection and returns the answer's status, 0 for no answer.
 func (r *testSidecar) status(text string) int {
 	got, _ := exchangeOn(r.dial(), text)
 	if got == nil {
@@ -118,7 +123,7 @@
 	return got.StatusCode
 }
 
-// insist does what clients do where a connection is closed under their request: they send it once more, on a new one.
+// exchangeWithRetry sends text on c and, if the connection is closed without an answer, again on a new one, as clients do.
 func (r *testSidecar) exchangeWithRetry(c net.Conn, text string) (*http.Response, string) {
 	if got, body := exchangeOn(c, text); got != nil {
 		return got, body
@@ -126,7 +131,7 @@
 	return exchangeOn(r.dial(), text)
 }
 
-// What an endpoint's failure becomes for the client, by what may run again.
+// The client's answer after an endpoint's failure depends on whether the request may run again.
 func TestAnswersByOutcomeAndEffect(t *testing.T) {
 	const head, emptyBody = "HTTP/1.1 ", "Content-Length: 0\r\n\r\n"
 	const key = "Idempotency-Key: k\r\nContent-Length: 0\r\n"
@@ -136,20 +141,20 @@
 		name, request string
 		script        func(net.Conn, *http.Request) bool
 		status        int
-		legs          int64 // at the least one, at the most
+		legs          int64 // maximum
 	}{
-		{"satisfied", requestText("1", "GET", "look/x?y=%20z", ""), respondWith(okResponse, true), 200, 1},
-		{"full proves that nothing ran", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), full, 503, 3},
+		{"succeeded", requestText("1", "GET", "look/x?y=%20z", ""), respondWith(okResponse, true), 200, 1},
+		{"full endpoint, nothing ran", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), full, 503, 3},
 		{"single-use may have run", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), failing, 502, 1},
-		{"an endpoint's own 503 is no dismissal", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), busy, 502, 1},
+		{"an endpoint's 503 without Not-Started is a failure", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), busy, 502, 1},
 		{"reset", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), resetConn, 502, 1},
-		{"silent to the end", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), neverAnswer, 504, 1},
-		{"replayable is tried again", requestText("1", "GET", "look/x", ""), failing, 503, 3},
-		{"referenced is tried again", requestText("1", "POST", "save/x", key), failing, 503, 3},
-		{"referenced, its mark of one hop", requestText("1", "POST", "save/x", key+"Connection: Idempotency-Key\r\n"), failing, 503, 3},
-		{"referenced with two marks", requestText("1", "POST", "save/x", key+"Idempotency-Key: l\r\n"), failing, 502, 1},
-		{"referenced without its mark", requestText("1", "POST", "save/x", "Content-Length: 0\r\n"), failing, 502, 1},
-		{"replayable by name, not by method", requestText("1", "POST", "look/x", "Content-Length: 0\r\n"), failing, 502, 1},
+		{"silent until the timeout", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), neverAnswer, 504, 1},
+		{"replayable is retried", requestText("1", "GET", "look/x", ""), failing, 503, 3},
+		{"referenced is retried", requestText("1", "POST", "save/x", key), failing, 503, 3},
+		{"referenced, key declared hop-by-hop", requestText("1", "POST", "save/x", key+"Connection: Idempotency-Key\r\n"), failing, 503, 3},
+		{"referenced with two keys", requestText("1", "POST", "save/x", key+"Idempotency-Key: l\r\n"), failing, 502, 1},
+		{"referenced without a key", requestText("1", "POST", "save/x", "Content-Length: 0\r\n"), failing, 502, 1},
+		{"replayable by class, not by method", requestText("1", "POST", "look/x", "Content-Length: 0\r\n"), failing, 502, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -159,7 +164,7 @@
 			got, body := exchangeOn(r.dial(), c.request)
 			require.NotNil(t, got, body)
 			assert.Equal(t, c.status, got.StatusCode)
-			assert.Less(t, time.Since(began), 1200*time.Millisecond, "at once, or by the abandon time")
+			assert.Less(t, time.Since(began), 1200*time.Millisecond, "answered at once or by the abandon time")
 			assert.LessOrEqual(t, s.requests.Load(), c.legs)
 			seen := <-s.received
 			assert.Equal(t, "1", seen.Header.Get("Request-Id"))
@@ -187,29 +192,29 @@
 		status        int
 	}{
 		{"no id", strings.Replace(requestText("", "GET", "look", ""), "Request-Id: \r\n", "", 1), 400},
-		{"endless id", requestText(strings.Repeat("1", maxRequestIDBytes+1), "GET", "look", ""), 400},
+		{"id too long", requestText(strings.Repeat("1", maxRequestIDBytes+1), "GET", "look", ""), 400},
 		{"empty id", requestText("", "GET", "look", ""), 400},
 		{"two ids", requestText("1", "GET", "look", "Request-Id: 2\r\n"), 400},
 		{"no timeout", strings.Replace(requestText("1", "GET", "look", ""), "Request-Timeout", "Timeout", 1), 400},
 		{"timeout without unit", strings.Replace(requestText("1", "GET", "look", ""), "900m", "900", 1), 400},
-		{"timeout below 0", strings.Replace(requestText("1", "GET", "look", ""), "900m", "-900m", 1), 400},
-		{"no number", strings.Replace(requestText("1", "GET", "look", ""), "900m", "NaNm", 1), 400},
-		{"endless", strings.Replace(requestText("1", "GET", "look", ""), "900m", "Infm", 1), 400},
-		{"options of all", strings.Replace(requestText("1", "OPTIONS", "look", ""), "/look", "*", 1), 405},
+		{"negative timeout", strings.Replace(requestText("1", "GET", "look", ""), "900m", "-900m", 1), 400},
+		{"timeout not a number", strings.Replace(requestText("1", "GET", "look", ""), "900m", "NaNm", 1), 400},
+		{"infinite timeout", strings.Replace(requestText("1", "GET", "look", ""), "900m", "Infm", 1), 400},
+		{"OPTIONS *", strings.Replace(requestText("1", "OPTIONS", "look", ""), "/look", "*", 1), 405},
 		{"other method", requestText("1", "DELETE", "look", ""), 405},
 		{"long body", requestText("1", "POST", "buy", fmt.Sprintf("Content-Length: %d\r\n", maxStreamedBytes+1)), 413},
 		{"long head", requestText("1", "GET", "look", "A: "+big+"\r\n"), 431},
 		{"broken chunks", requestText("1", "POST", "buy", "Transfer-Encoding: chunked\r\n\r\nxyz\r\n"), 400},
 		{"two lengths", requestText("1", "POST", "buy", "Content-Length: 1\r\nContent-Length: 2\r\n"), 400},
 		{"no HTTP", "hello\r\n\r\n", 400},
-		{"no HTTP, no end", "HELLO\x00", 400},
-		{"not even letters", "\x16\x03\x01", 400},
-		{"timeout in other figures", strings.Replace(requestText("1", "GET", "look", ""), "900m", "9e2m", 1), 400},
+		{"no HTTP, no line end", "HELLO\x00", 400},
+		{"TLS record", "\x16\x03\x01", 400},
+		{"timeout in exponent form", strings.Replace(requestText("1", "GET", "look", ""), "900m", "9e2m", 1), 400},
 		{"unknown class", requestText("1", "POST", "sell", "Idempotency-Key: k\r\nContent-Length: 0\r\n"), 404},
 		{"no class", strings.Replace(requestText("1", "GET", "look", ""), "Request-Class: look", "Request-Class:", 1), 404},
 		{"two classes", requestText("1", "GET", "look", "Request-Class: buy\r\n"), 404},
 		{"class and path differ", strings.Replace(requestText("1", "GET", "look", ""), "GET /look", "GET /buy", 1), 404},
-		{"body does not come", strings.Replace(requestText("1", "POST", "buy", "Content-Length: 5\r\n"), "900m", "50m", 1), 408},
+		{"body does not arrive", strings.Replace(requestText("1", "POST", "buy", "Content-Length: 5\r\n"), "900m", "50m", 1), 408},
 	}
 	for _, c := range cases {
 		began := time.Now()
@@ -222,7 +227,7 @@
 	assert.Zero(t, r.server.counters.exchanges.Load())
 }
 
-// The same id twice would have its effect twice.
+// A request that repeats the id of another one is refused: its effect would come twice.
 func TestDuplicateRequestIDIsRefused(t *testing.T) {
 	release := make(chan bool)
 	s := newStubEndpoint(t, func(c net.Conn, _ *http.Request) bool {
@@ -235,7 +240,7 @@
 	first := r.dial()
 	first.Write([]byte(text))
 	<-s.received
-	assert.Equal(t, 409, r.status(text), "while the first is in hand")
+	assert.Equal(t, 409, r.status(text), "while the first is in progress")
 	close(release)
 	got, _ := exchangeOn(first, "")
 	assert.Equal(t, 200, got.StatusCode)
@@ -243,7 +248,7 @@
 	assert.EqualValues(t, 1, s.requests.Load())
 }
 
-// A client that has gone wants no answer; its legs are called off, so that endpoints don't work for nobody.
+// When a client leaves, its legs are cancelled, so that endpoints do no work in vain.
 func TestLegsAreCancelledWhenTheClientLeaves(t *testing.T) {
 	ended := make(chan bool)
 	s := newStubEndpoint(t, func(c net.Conn, r *http.Request) bool {
@@ -258,7 +263,7 @@
 	c.(*net.TCPConn).CloseWrite()
 	got, _ := exchangeOn(c, "")
 	require.NotNil(t, got)
-	assert.Equal(t, 502, got.StatusCode, "nothing that could be taken for an endpoint's answer")
+	assert.Equal(t, 502, got.StatusCode, "not to be taken for an endpoint's answer")
 	<-ended
 	assert.EqualValues(t, 1, r.server.counters.clientsLeft.Load())
 	assert.Eventually(t, func() bool { return r.server.counters.legsByOutcome[logic.Cancelled].Load() == 1 },
@@ -270,7 +275,7 @@
 	r := startSidecar(t, "null", nil)
 	const up = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
 	assert.Equal(t, 503, r.status(up), "without a list")
-	assert.Equal(t, 503, r.status(requestText("1", "POST", "buy", "Content-Length: 0\r\n")), "nowhere to send it")
+	assert.Equal(t, 503, r.status(requestText("1", "POST", "buy", "Content-Length: 0\r\n")), "no endpoint to send it to")
 	i := endpointList{version: 1, full: true, servers: []listEntry{{id: "s", addr: s.Addr().String(), running: true}}}
 	r.loop.post(listReceived{endpointList: i, fromDisk: true})
 	assert.Equal(t, 200, r.status(requestText("2", "POST", "buy", "Content-Length: 0\r\n")))
@@ -282,8 +287,9 @@
 	}
 }
 
-// Beyond the descriptors a client is still read and told to come back; nothing stays unread. Before that give way, in this
-// order: who says nothing, kept connections, idle ones to endpoints, half requests; never one with an exchange in hand.
+// Over the descriptor limit a client's request is still read and answered 503 with a time to retry; none stays unread. Before
+// that, connections are closed in this order: silent ones, idle ones of clients, idle ones to endpoints, incomplete requests;
+// never one with an exchange in progress.
 func TestEvictionWhenDescriptorsRunOut(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	slow := newStubEndpoint(t, neverAnswer)
@@ -313,32 +319,32 @@
 		}
 		return c
 	}
-	served("while there is room")
+	served("below the limit")
 	for range 2 * usable {
 		r.dial()
 	}
-	eventually(func() bool { // none of them may come behind the next one
+	eventually(func() bool { // none of them may be accepted after the next one
 		clients, _ := descriptors.connections()
 		return r.server.counters.clientsShed.Load()+int64(clients) >= int64(2*usable)
-	}, "all have come")
-	eventually(func() bool { return descriptors.makeClientRoom() }, "the silent give way")
-	served("with silent ones all around")
+	}, "all were accepted")
+	eventually(func() bool { return descriptors.makeClientRoom() }, "silent connections are evicted")
+	served("among silent connections")
 	for range 3 * usable {
-		served("with kept ones all around")
+		served("among idle connections")
 	}
 	_, idle := descriptors.connections()
-	assert.NotZero(t, idle, "a connection to the endpoint stays: its opening costs more")
+	assert.NotZero(t, idle, "a connection to the endpoint stays open: opening one costs more")
 	incomplete := []net.Conn{}
 	for range usable {
 		c := r.dial()
 		c.Write([]byte("POST /buy HTTP/1.1\r\nHost: h\r\n"))
 		incomplete = append(incomplete, c)
 	}
-	eventually(mostInPhase(phaseReading), "half requests")
+	eventually(mostInPhase(phaseReading), "incomplete requests")
 	eventually(func() bool {
 		sent++
 		return r.status(requestText(fmt.Sprint("w", sent), "GET", "look", "")) == 200
-	}, "with half requests all around")
+	}, "among incomplete requests")
 	for _, c := range incomplete {
 		got, _ := exchangeOn(c, "")
 		if got != nil {
@@ -350,15 +356,16 @@
 	for n := range usable {
 		r.dial().Write([]byte(requestText(fmt.Sprint("held", n), "GET", "look", "")))
 	}
-	eventually(mostInPhase(phaseBusy), "exchanges in hand")
+	eventually(mostInPhase(phaseBusy), "exchanges in progress")
 	got, _ := exchangeOn(r.dial(), requestText("last", "POST", "buy", "Content-Length: 5\r\n")+"hello")
 	require.NotNil(t, got)
 	assert.Equal(t, 503, got.StatusCode)
 	assert.True(t, got.Close)
-	assert.Zero(t, r.server.counters.clientsLeft.Load(), "no exchange in hand was cut off")
+	assert.Zero(t, r.server.counters.clientsLeft.Load(), "no exchange in progress was cut off")
 }
 
-// An application may hold a third of the descriptors: those who ask once and stay must leave some to its other requests.
+// An application may hold a third of the descriptors. If it leaves that many connections idle, enough of them are closed with
+// their answers that its further requests find descriptors.
 func TestKeptAliveConnectionsAreLimited(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), func(s *Config) { s.Sockets = 96 })
 	var first net.Conn
@@ -376,10 +383,10 @@
 	assert.LessOrEqual(t, left, 96/6+1)
 	began := time.Now()
 	first.Read(make([]byte, 1))
-	assert.Less(t, time.Since(began), 3*time.Second, "kept ones are not kept for good")
+	assert.Less(t, time.Since(began), 3*time.Second, "an idle connection is closed")
 }
 
-// Who connects and says nothing, or not all, is owed an end within 3 s, however it spreads what it sends.
+// A client that sends nothing or an incomplete request has its connection ended within 3 s, however it spreads its bytes.
 func TestSlowClientsTimeOut(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), nil)
 	long := strings.Replace(requestText("1", "POST", "buy", "Content-Length: 500\r\n"), "900m", "60000m", 1)
@@ -400,7 +407,7 @@
 	}
 }
 
-// What follows a request whose length is in doubt is never read as another request.
+// What follows a request of ambiguous length is never read as another request.
 func TestRequestSmugglingIsRefused(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s), nil)
@@ -411,21 +418,21 @@
 		first             int
 		requests          int64
 	}{
-		{"both", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n", 400, 0},
-		{"both, the other way round", "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n", "0\r\n\r\n", 400, 0},
-		{"both, other letters", "transfer-encoding:chunked\r\ncontent-length:5\r\n", "0\r\n\r\n", 400, 0},
+		{"length and chunked", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n", 400, 0},
+		{"chunked and length", "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n", "0\r\n\r\n", 400, 0},
+		{"both in lower case", "transfer-encoding:chunked\r\ncontent-length:5\r\n", "0\r\n\r\n", 400, 0},
 		{"two lengths", "Content-Length: 0\r\nContent-Length: 500\r\n", "", 400, 0},
-		{"the same twice", "Content-Length: 0\r\nContent-Length: 0\r\n", "", 400, 0},
+		{"the same length twice", "Content-Length: 0\r\nContent-Length: 0\r\n", "", 400, 0},
 		{"list of lengths", "Content-Length: 0, 0\r\n", "", 400, 0},
-		{"negative", "Content-Length: -1\r\n", "", 400, 0},
-		{"signed", "Content-Length: +0\r\n", "", 400, 0},
-		{"huge", "Content-Length: 99999999999999999999\r\n", "", 400, 0},
-		{"no number", "Content-Length: five\r\n", "", 400, 0},
-		{"folded", "Content-Length:\r\n 5\r\n", "", 400, 0},
-		{"other coding", "Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n", 400, 0},
-		{"coding twice", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n", 400, 0},
-		{"behind chunks", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n", 200, 1},
-		{"pipelined in good order", "Content-Length: 2\r\n", "ab", 200, 2},
+		{"negative length", "Content-Length: -1\r\n", "", 400, 0},
+		{"signed length", "Content-Length: +0\r\n", "", 400, 0},
+		{"length overflows", "Content-Length: 99999999999999999999\r\n", "", 400, 0},
+		{"length not a number", "Content-Length: five\r\n", "", 400, 0},
+		{"folded header", "Content-Length:\r\n 5\r\n", "", 400, 0},
+		{"another coding", "Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n", 400, 0},
+		{"chunked twice", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n", 400, 0},
+		{"request after a chunked body", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n", 200, 1},
+		{"valid pipelining", "Content-Length: 2\r\n", "ab", 200, 2},
 	} {
 		before := s.requests.Load()
 		conn := r.dial()
@@ -449,11 +456,11 @@
 	got, _ := exchangeOn(kept, plain("kept", "Content-Length: 0\r\n"))
 	assert.Equal(t, 200, got.StatusCode)
 	got, _ = exchangeOn(kept, plain("bad", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n"))
-	require.NotNil(t, got, "on a connection that was used before")
+	require.NotNil(t, got, "on a reused connection")
 	assert.Equal(t, 400, got.StatusCode)
 }
 
-// What waited unread while the process stood still has less time left than it says.
+// A request that waited unread while the process was stalled has less time left than its timeout states.
 func TestStallDetector(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
@@ -461,12 +468,12 @@
 		beats       []time.Duration
 		now, behind time.Duration
 	}{
-		{"in step", []time.Duration{20 * ms, 40 * ms}, 50 * ms, 0},
-		{"a beat a little late", []time.Duration{20 * ms, 55 * ms}, 56 * ms, 0},
-		{"first after a standstill, before the beat", []time.Duration{20 * ms}, 320 * ms, 300 * ms},
-		{"after the beat", []time.Duration{20 * ms, 320 * ms}, 330 * ms, 310 * ms},
-		{"a standstill that began after it was read", []time.Duration{20 * ms, 320 * ms}, 10 * ms, 0},
-		{"in step again", []time.Duration{20 * ms, 320 * ms, 340 * ms, 360 * ms}, 365 * ms, 0},
+		{"no stall", []time.Duration{20 * ms, 40 * ms}, 50 * ms, 0},
+		{"a tick slightly late", []time.Duration{20 * ms, 55 * ms}, 56 * ms, 0},
+		{"after a stall, before the tick", []time.Duration{20 * ms}, 320 * ms, 300 * ms},
+		{"after a stall and the tick", []time.Duration{20 * ms, 320 * ms}, 330 * ms, 310 * ms},
+		{"a stall that began after the read", []time.Duration{20 * ms, 320 * ms}, 10 * ms, 0},
+		{"ticks on time again", []time.Duration{20 * ms, 320 * ms, 340 * ms, 360 * ms}, 365 * ms, 0},
 	} {
 		var p stallDetector
 		for _, at := range c.beats {
@@ -475,18 +482,18 @@
 		assert.Equal(t, c.behind, p.readDelay(c.now), c.name)
 	}
 	r := startSidecar(t, "null", nil)
-	assert.Eventually(t, func() bool { // as it was, but for a beat that comes late meanwhile
+	assert.Eventually(t, func() bool { // a late tick in between may reset the stall: set it again
 		r.server.stalls.lastTick.Store(-int64(time.Hour))
 		return r.loop.upstream.updatesPending()
-	}, 5*time.Second, time.Millisecond, "legs wait until the news is read")
-	assert.Eventually(t, func() bool { return !r.loop.upstream.updatesPending() }, 5*time.Second, time.Millisecond, "and no longer")
+	}, 5*time.Second, time.Millisecond, "legs wait until discovery's messages are read")
+	assert.Eventually(t, func() bool { return !r.loop.upstream.updatesPending() }, 5*time.Second, time.Millisecond, "legs wait no longer")
 	f := &clientServer{loop: r.loop, names: r.server.names, products: r.server.products}
 	f.stalls.lastTick.Store(-int64(time.Hour))
 	q, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("1", "GET", "look", ""))))
 	require.NoError(t, err)
 	x, _, _ := f.readExchange(httptest.NewRecorder(), q, time.Now())
 	require.NotNil(t, x)
-	assert.Less(t, x.deadline, r.loop.at(time.Now()), "its time is over")
+	assert.Less(t, x.deadline, r.loop.at(time.Now()), "its timeout has passed")
 }
 
 func TestStartWaitsForTheAddress(t *testing.T) {
@@ -506,7 +513,7 @@
 	assert.Zero(t, r.server.bodyBytes.Load())
 }
 
-// After SIGTERM connections still come, kept ones are used on, and what is held must be finished.
+// After SIGTERM new connections still arrive, idle ones are still used, and exchanges in progress must be finished.
 func TestGracefulShutdown(t *testing.T) {
 	release := make(chan bool)
 	s := newStubEndpoint(t, func(c net.Conn, q *http.Request) bool {
@@ -532,15 +539,15 @@
 		assert.True(t, got.Close)
 	}
 	until, past := r.server.shutdownBy.Load(), time.Now()
-	assert.Less(t, r.loop.at(*until)-r.loop.at(time.Now()), logic.Millis(1200), "nobody waits for SIGKILL")
+	assert.Less(t, r.loop.at(*until)-r.loop.at(time.Now()), logic.Millis(1200), "no deadline is later than SIGKILL")
 	r.server.shutdownBy.Store(&past)
-	assert.Equal(t, 503, r.status(requestText("over", "GET", "look", "")), "would not be answered before SIGKILL")
+	assert.Equal(t, 503, r.status(requestText("over", "GET", "look", "")), "could not be answered before SIGKILL")
 	r.server.shutdownBy.Store(until)
 	close(release)
 	got, _ = exchangeOn(slow, "")
 	require.NotNil(t, got)
 	assert.Equal(t, 200, got.StatusCode)
-	assert.True(t, got.Close, "though it was begun before")
+	assert.True(t, got.Close, "although the exchange began before SIGTERM")
 	err := <-r.ended
 	assert.NoError(t, err)
 	r.ended <- err
@@ -548,7 +555,7 @@
 	assert.Error(t, err)
 }
 
-// A fault in one exchange must not take the others with it.
+// A panic in one exchange must not fail the others.
 func TestPanicsAreContained(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s), nil)
@@ -561,28 +568,28 @@
 	assert.Equal(t, 502, r.status(requestText("1", "POST", "buy", "Content-Length: 0\r\n")))
 	x := &exchange{id: "2", answer: make(chan answer, 1)}
 	r.loop.post(legEnded{x: x, n: 5})
-	assert.Equal(t, 502, (<-x.answer).status, "in the loop")
+	assert.Equal(t, 502, (<-x.answer).status, "panic in the event loop")
 	assert.Equal(t, 200, r.status(requestText("3", "POST", "buy", "Content-Length: 0\r\n")))
 	assert.EqualValues(t, 2, r.server.counters.panics.Load())
 	broken := &clientServer{descriptors: newDescriptorLimiter(100, &Counters{}), counters: &Counters{}, log: zap.NewNop(), loop: r.loop, maxBodyBytesTotal: 1}
 	q, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("4", "GET", "look", ""))))
 	require.NoError(t, err)
 	w := httptest.NewRecorder()
-	broken.ServeHTTP(w, q) // it has no names
+	broken.ServeHTTP(w, q) // panics: names is nil
 	assert.Equal(t, 502, w.Code)
 	assert.EqualValues(t, 1, broken.counters.panics.Load())
 }
 
-// When nobody decides in time, the loop answers: no exchange is lost.
+// If the module does not decide in time, the loop answers itself, so that no exchange is lost.
 func TestOverdueExchangeIsAnswered(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, neverAnswer)), nil)
 	x := &exchange{id: "1", answer: make(chan answer, 1)}
-	r.loop.post(arrival{x}) // its abandon time has passed already
+	r.loop.post(arrival{x}) // its deadline has passed already
 	a := <-x.answer
 	assert.Contains(t, []int{503, 504}, a.status)
 }
 
-// An exchange that is over keeps no body, though the alarm of its abandon time is still to come.
+// A finished exchange keeps no body in memory, although the timer of its deadline still refers to it.
 func TestFinishedExchangeKeepsNoBody(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), nil)
 	x := &exchange{id: "1", deadline: r.loop.at(time.Now()) + 60000, answer: make(chan answer, 1), request: request{
@@ -594,10 +601,11 @@
 	assert.False(t, <-kept)
 }
 
-// All troubles at once: each exchange gets one answer in time, and no effect comes twice or after a dismissal.
+// With all kinds of failures at once, each exchange gets one answer in time, and no single-use request runs twice or after it
+// was shed.
 func TestGuaranteesHoldUnderMixedFailures(t *testing.T) {
 	var mu sync.Mutex
-	ran := map[string]int{} // by id, of single-use exchanges that were begun
+	ran := map[string]int{} // starts of single-use requests at endpoints, by id
 	requests := 0
 	scripts := []func(net.Conn, *http.Request) bool{
 		respondWith(okResponse, true), respondWith(okResponse, true), respondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true), respondWith(okResponse, false), resetConn,
@@ -621,7 +629,7 @@
 	}
 	r := startSidecar(t, listOf(endpoints...), nil)
 	stop := make(chan bool)
-	go func() { // endpoints drain and come back all the while
+	go func() { // endpoints drain and return to service all the time
 		for n := 0; ; n++ {
 			state := []string{"terminating", "in_service"}[n%2]
 			v, _ := fastjson.Parse(listText(n, false, entryText(fmt.Sprint("s", n/2%4), endpoints[n/2%4].Addr().String(), state)))
@@ -652,7 +660,7 @@
 				mu.Lock()
 				assert.LessOrEqual(t, ran[id], 1, "effects of %s", id)
 				assert.Contains(t, []int{200, 502, 503, 504}, got.StatusCode)
-				assert.False(t, got.StatusCode == 503 && ran[id] > 0, "%s was dismissed and may have run", id)
+				assert.False(t, got.StatusCode == 503 && ran[id] > 0, "%s was shed and may have run", id)
 				assert.Equal(t, got.StatusCode == 200, body == "hello", id)
 				mu.Unlock()
 			}
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -1,6 +1,7 @@
-// Stream: what is too long to be kept. This file owns the bounded flow between one who writes and one who reads, the pace
-// that is asked of either, and the passing on of long answers and requests. It must never hold more than its bound, mend
-// what is broken, or let a reader take for whole what is not.
+// This file streams requests and answers that are too long to be buffered. It owns the bounded pipe between the reading and
+// the writing side, the minimum rates that both must keep, and the transfer itself. It must never hold more than its bound,
+// repair a broken transfer, or let a reader take an incomplete body for whole.
+
 package sidecar
 
 import (
@@ -21,26 +22,26 @@
 )
 
 const (
-	pipeBytes             = 32 << 10                // bytes that a flow holds before its writer waits
-	copyChunkBytes        = 16 << 10                // bytes written at once
-	maxStreamedBytes      = 48 << 20                // bytes of an answer or a request; more is a mistake
-	streamStallTimeout    = 12 * time.Second        // without a byte, in a transfer that has begun: peers may take seconds
-	headReadTimeout       = 2400 * time.Millisecond // from connecting, or a request's first byte, to the end of its head
-	bodyStartTimeout      = 1500 * time.Millisecond // behind the head, for a body to begin
-	minBodyBytesPerSecond = 44 << 10                // bytes a second, from then on: no client is asked for 64 kB
-	bodyDiscardTime       = 3 * time.Second         // for the rest of a request that was answered before its end
-	streamAfterShare      = 0.5                     // of the expected time, until an answer of unknown length is passed on
+	pipeBytes             = 32 << 10                // held by a pipe before its writer waits
+	copyChunkBytes        = 16 << 10                // read, or written to a client, at once
+	maxStreamedBytes      = 48 << 20                // of an answer or a request; a longer one is taken for a mistake
+	streamStallTimeout    = 12 * time.Second        // without progress in a started transfer; peers may pause for seconds
+	headReadTimeout       = 2400 * time.Millisecond // from connecting, or from a request's first byte, to the end of its head
+	bodyStartTimeout      = 1500 * time.Millisecond // from the head to the first byte of the body
+	minBodyBytesPerSecond = 44 << 10                // after bodyStartTimeout; clients need not send as much as 64 kB/s
+	bodyDiscardTime       = 3 * time.Second         // for reading the rest of a request that was answered before its end
+	streamAfterShare      = 0.5                     // of the expected time, after which an answer of unknown length is passed on
 )
 
-var errReaderGone = errors.New("nobody takes the rest")
+var errReaderGone = errors.New("stream cancelled: its reader takes no more data")
 
-// flow is bounded: who writes waits while it is full. Its reader gets what there is, the end once all is read, or why
-// there is none.
+// bodyPipe is a bounded pipe: its writer waits while it is full. Its reader gets what is buffered and then, once all of it
+// is read, the error with which the writer closed it, io.EOF for a complete body.
 type bodyPipe struct {
 	mu        sync.Mutex
 	changed   sync.Cond
 	buffered  []byte
-	unbounded bool // nothing waits yet: what is held may grow to its writer's own bound
+	unbounded bool // there is no reader yet: the buffer may grow up to the writer's own bound
 	err       error
 	discarded bool
 }
@@ -51,7 +52,7 @@
 	return f
 }
 
-// put adds a part, or says that nobody takes it.
+// write appends p, waiting while the pipe is full. It returns errReaderGone once the reader takes no more.
 func (f *bodyPipe) write(p []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// take waits for more, and leaves spare for what comes next.
+// read waits for data and returns all of it. The pipe uses the memory of spare for the data that follows.
 func (f *bodyPipe) read(spare []byte) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,7 +86,7 @@
 	return nil, f.err
 }
 
-// close tells the reader that no more comes: io.EOF if all is there.
+// close ends the data with err for the reader: io.EOF if the body is complete. Only the first call counts.
 func (f *bodyPipe) close(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,7 +96,7 @@
 	f.changed.Broadcast()
 }
 
-// drop tells the writer that nobody reads.
+// discard drops what is buffered, and makes writes fail from now on.
 func (f *bodyPipe) discard() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,18 +106,19 @@
 
 // ---- answers
 
-// prelude is the part of an answer before it is known whether it is short, and so kept whole, or passed on as it comes.
+// undecidedAnswer is an answer of which it is not decided yet whether it is buffered whole, being short, or passed on while
+// it arrives.
 type undecidedAnswer struct {
 	*bodyPipe
 	mu      sync.Mutex
 	size    int
-	pastDue bool // it has its time behind it: the first byte begins it
-	started bool
+	pastDue bool // its time to be buffered is over: it is passed on from its first byte
+	started bool // it is passed on
 	ended   bool
 	onStart func()
 }
 
-// put adds a part; begun tells whether somebody may read it by now.
+// write appends a part, and starts passing the answer on if it is known to be long, has grown too long, or is due.
 func (p *undecidedAnswer) write(part []byte, long bool) error {
 	if err := p.bodyPipe.write(part); err != nil {
 		return err
@@ -139,19 +141,19 @@
 	p.onStart()
 }
 
-// hurry begins an answer whose end nobody knows, for as long as it has not come.
+// startWhenDue has an answer of unknown length passed on from now on, or from its first byte, if it has not ended.
 func (p *undecidedAnswer) startWhenDue() {
 	p.mu.Lock()
 	p.pastDue = true
 	start := !p.started && !p.ended && p.size > 0
 	p.started = p.started || start
 	if start {
-		p.start() // under the lock: the end must not be told before the beginning
+		p.start() // under the lock, so that the end is not reported before the start
 	}
 	p.mu.Unlock()
 }
 
-// finish ends it and tells whether it had begun; if not, all of it is still there.
+// finish marks the answer as ended, and reports whether it is being passed on. If not, all of it is still buffered.
 func (p *undecidedAnswer) finish() (started bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,7 +161,8 @@
 	return p.started
 }
 
-// stream takes an answer that is long, or may be.
+// stream reads an answer that is long or of unknown length. It returns the body if the answer turned out to be short, or r
+// if it was passed on while it arrived.
 func (k *endpointConn) stream(g *leg, got *http.Response, length int64) (r *reply, body []byte, err error) {
 	pending := &undecidedAnswer{bodyPipe: newBodyPipe()}
 	pending.unbounded = true
@@ -205,8 +208,9 @@
 	return r, nil, err
 }
 
-// pass writes a long answer to the client as it comes. A fault of the endpoint's comes back as such: the connection has to
-// be broken off, so that the client can tell.
+// streamTo writes a streamed answer to the client while it arrives. complete says that all of it was written. err is an error
+// of the endpoint's side: the client's connection must then be broken, so that the client notices. If both are zero, the
+// client has left or stalled.
 func (a answer) streamTo(w http.ResponseWriter) (complete bool, err error) {
 	control := http.NewResponseController(w)
 	a.setHeaders(w.Header())
@@ -241,11 +245,12 @@
 
 // ---- requests
 
-// paced reads a body at least as fast as is asked of clients; time that we did not read in is not theirs.
+// minRateReader reads a client's body and fails if the body falls behind the minimum rate. startBy is moved on by the time in
+// which the sidecar did not read: the client is not charged for it.
 type minRateReader struct {
 	source        io.Reader
 	control       *http.ResponseController
-	startBy       time.Time // for the first byte
+	startBy       time.Time // deadline of the first byte
 	receivedBytes int64
 }
 
@@ -256,15 +261,15 @@
 	return n, err
 }
 
-// incoming is a long request on its way to an endpoint.
+// streamedRequest is the body of a request that is passed on to an endpoint while it arrives.
 type streamedRequest struct {
 	*bodyPipe
-	length   int64 // -1 if nobody has said
-	deadline time.Time
+	length   int64     // -1 if unknown
+	deadline time.Time // for its answer; set before the pipe is closed with io.EOF
 }
 
-// pump reads a long request from its client until its end. What nobody takes any more is read for a while, or the client
-// would find its connection broken before it has read its answer.
+// receiveBody reads a streamed request from its client until its end. If the pipe's reader takes no more, the rest is read
+// and discarded for a while: otherwise the client would find its connection reset before it has read its answer.
 func (s *clientServer) receiveBody(x *exchange, body *streamedRequest, source *minRateReader) (err error) {
 	chunk, discardUntil := make([]byte, copyChunkBytes), time.Time{}
 	for err == nil && (discardUntil.IsZero() || time.Now().Before(discardUntil)) {
@@ -276,7 +281,7 @@
 			source.startBy = source.startBy.Add(time.Since(writeStart))
 			continue
 		}
-		source.startBy = source.startBy.Add(time.Since(writeStart)) // the endpoint let us wait, not the client
+		source.startBy = source.startBy.Add(time.Since(writeStart)) // waiting for the endpoint is not charged to the client
 	}
 	if err == io.EOF {
 		completeAt := x.client.earlierReceipt(time.Now())
@@ -296,7 +301,8 @@
 	return err
 }
 
-// runLong carries a long request. The endpoint may answer before its end, and then never began it.
+// runStreamed sends a streamed request and reads its answer. If the endpoint answers before the request's end, it did not
+// start to process the request.
 func (u *upstream) runStreamed(k *endpointConn, g *leg, head net.Buffers) (r *reply, keepOpen bool, fault *legError) {
 	noDeadline := time.Now().Add(time.Hour)
 	g.deadlineOverride.Store(&noDeadline)
@@ -309,7 +315,7 @@
 	go func() {
 		at, err := u.upload(k, g, head)
 		if err != nil {
-			k.conn.SetReadDeadline(time.Now().Add(u.stallTimeout / 5)) // for what it may have said about that
+			k.conn.SetReadDeadline(time.Now().Add(u.stallTimeout / 5)) // the endpoint may have answered why it stopped reading
 		}
 		uploaded <- end{at, err}
 	}()
@@ -331,7 +337,7 @@
 		return r, keepOpen, fault
 	case g.ctx.Err() != nil:
 		return nil, false, newLegError(e.at, e.err, true)
-	case fault == nil: // an answer to what was never asked whole
+	case fault == nil: // a successful answer to a request that was not sent whole
 		return nil, false, &legError{stage: answered, outcome: logic.Errored, cause: errMalformedAnswer}
 	case fault.outcome == logic.Full:
 		return nil, false, fault
@@ -339,7 +345,7 @@
 	return nil, false, newLegError(writing, e.err, false)
 }
 
-// upload writes a long request. Once it is whole its time runs.
+// upload writes a streamed request. The time for the answer runs from the request's last byte.
 func (u *upstream) upload(k *endpointConn, g *leg, head net.Buffers) (legStage, error) {
 	body := g.request.remaining
 	k.conn.SetWriteDeadline(time.Now().Add(streamStallTimeout))
@@ -395,20 +401,22 @@
 	return written, nil
 }
 
+// writeChunk writes p as one chunk.
 func writeChunk(w io.Writer, p []byte) error {
 	text := net.Buffers{[]byte(fmt.Sprintf("%x\r\n", len(p))), p, []byte("\r\n")}
 	_, err := text.WriteTo(w)
 	return err
 }
 
-// chunks reads a body in chunks and hands over what has come. The standard library's reader waits until a chunk is whole or
-// its buffer full: a slow answer's first bytes would be held back until the leg's time is over.
+// chunkedReader reads a chunked body and returns data as soon as it arrives. The standard library's reader waits until a chunk
+// is complete or its buffer is full: the first bytes of a slow answer would be held back until its leg times out.
 type chunkedReader struct {
 	source    *bufio.Reader
-	chunkLeft uint64 // of this chunk
-	started   bool   // a chunk's data came before
+	chunkLeft uint64 // bytes of the current chunk that are still to be read
+	started   bool   // a chunk has been read before, whose line end is still to be read
 }
 
+// maxTrailerBytes bounds the trailers of a chunked body.
 const maxTrailerBytes = 16 << 10
 
 func (c *chunkedReader) Read(p []byte) (int, error) {
@@ -439,7 +447,7 @@
 	return n, err
 }
 
-// line is one without its end.
+// readLine returns a line without its end.
 func (c *chunkedReader) readLine() ([]byte, error) {
 	line, err := c.source.ReadSlice('\n')
 	switch {
@@ -453,6 +461,7 @@
 	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
 }
 
+// readTrailers skips the trailers and returns io.EOF after the empty line that ends them.
 func (c *chunkedReader) readTrailers() error {
 	for size := 0; size < maxTrailerBytes; {
 		line, err := c.readLine()
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -18,7 +18,7 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// slowly writes parts with a pause before each but the first.
+// writeSlowly returns an endpoint's script that writes parts with a pause between them.
 func writeSlowly(pause time.Duration, parts ...string) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, _ *http.Request) bool {
 		for n, p := range parts {
@@ -31,15 +31,16 @@
 	}
 }
 
-// An answer that is passed on is bounded by its pace alone, neither by the leg's time nor by the pause of a short one.
+// An answer that is streamed to the client is bounded only by the stall time-out of streams, not by the leg's time-out nor by the
+// shorter pause that a buffered answer may have.
 func TestStreamedAnswerOutlivesTheLegTimeout(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	long := strings.Repeat("x", maxBufferedBodyBytes)
 	for name, parts := range map[string][]string{
-		"length said":         {fmt.Sprintf("%sContent-Length: %d\r\n\r\n12345", head, maxBufferedBodyBytes+5), long},
+		"content length":      {fmt.Sprintf("%sContent-Length: %d\r\n\r\n12345", head, maxBufferedBodyBytes+5), long},
 		"chunks":              {head + "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n", fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", maxBufferedBodyBytes, long)},
 		"one chunk in pieces": {fmt.Sprintf("%sTransfer-Encoding: chunked\r\n\r\n%x;a=b\r\n12345", head, maxBufferedBodyBytes+5), long + "\r\n0\r\nT: u\r\n\r\n"},
-		"ends with its close": {head + "\r\n12345", long},
+		"ends at close":       {head + "\r\n12345", long},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -70,12 +71,12 @@
 
 func longBody(size int) string { return strings.Repeat("0123456789abcdef", size/16) }
 
-// A long answer that breaks off is never taken for whole, and counts as failed; what came before the break was passed on.
+// A streamed answer that breaks off is never taken for complete, and counts as failed; what arrived before that was passed on.
 func TestBrokenStreamIsNotTakenForComplete(t *testing.T) {
 	long := longBody(4 * maxBufferedBodyBytes)
 	for name, head := range map[string]string{
-		"length said": fmt.Sprintf("Content-Length: %d\r\n\r\n", 2*len(long)),
-		"chunks":      fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(long)),
+		"content length": fmt.Sprintf("Content-Length: %d\r\n\r\n", 2*len(long)),
+		"chunks":         fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", 2*len(long)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -86,18 +87,18 @@
 			got, err := http.ReadResponse(bufio.NewReader(c), nil)
 			require.NoError(t, err)
 			body, err := io.ReadAll(got.Body)
-			assert.Error(t, err, "the client can tell")
+			assert.Error(t, err, "the client notices")
 			assert.True(t, strings.HasPrefix(long, string(body[:len(long)/2])))
-			assert.EqualValues(t, 1, s.requests.Load(), "never patched up by another")
+			assert.EqualValues(t, 1, s.requests.Load(), "not completed by another leg")
 			f := &r.server.counters.products[0]
 			assert.Eventually(t, func() bool { return f.failed.Load() == 1 && r.server.activeRequests.Load() == 0 }, 5*time.Second, time.Millisecond)
 			assert.Zero(t, f.succeeded.Load()+r.server.counters.panics.Load())
-			assert.Equal(t, 200, r.status(requestText("2", "GET", "look/none", "")), "the endpoint's next answer begins as well")
+			assert.Equal(t, 200, r.status(requestText("2", "GET", "look/none", "")), "the endpoint's next answer also starts")
 		})
 	}
 }
 
-// A client that goes away in the middle of a long answer: its leg is called off and nothing stays behind.
+// When a client leaves in the middle of a streamed answer, its leg is cancelled and all resources are released.
 func TestClientLeavesDuringAStreamedAnswer(t *testing.T) {
 	ended := make(chan bool)
 	s := newStubEndpoint(t, func(c net.Conn, q *http.Request) bool {
@@ -119,7 +120,7 @@
 	assert.Eventually(t, func() bool { return r.server.counters.legsByOutcome[logic.Cancelled].Load() == 1 }, 5*time.Second, time.Millisecond)
 }
 
-// upload sends a request with a long body, in chunks or with its length said, in so many parts.
+// sendLongRequest sends a request with a long body, chunked or with Content-Length, in so many parts, and reads the answer.
 func sendLongRequest(c net.Conn, id, body string, chunked bool, parts int) (*http.Response, string) {
 	head, step := fmt.Sprintf("Content-Length: %d\r\n", len(body)), len(body)/parts
 	if chunked {
@@ -141,7 +142,7 @@
 	return exchangeOn(c, "")
 }
 
-// Requests of any length reach their endpoint as they were sent, and answers of any length their client.
+// Requests of any length reach their endpoint unchanged, and answers of any length their client.
 func TestLongRequestsAndAnswersArriveUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		size    int
@@ -164,7 +165,7 @@
 	}
 }
 
-// What became of a long request that is not whole: it never ran, no endpoint takes it for whole, and it is told at once.
+// A long request that fails before its end never runs: no endpoint takes it for complete, and the client is answered at once.
 func TestIncompleteLongRequestsFailAtOnce(t *testing.T) {
 	t.Run("the client breaks it off", func(t *testing.T) {
 		s := newStubEndpoint(t, respondWith(okResponse, true))
@@ -179,7 +180,7 @@
 		assert.Zero(t, s.requests.Load())
 		assert.Zero(t, r.server.counters.products[1].legs.Load())
 	})
-	t.Run("the endpoint turns it away in the middle", func(t *testing.T) {
+	t.Run("the endpoint refuses it in the middle", func(t *testing.T) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer ln.Close()
@@ -197,10 +198,10 @@
 		began := time.Now()
 		got, body := sendLongRequest(r.dial(), "1", longBody(3<<20), false, 3)
 		require.NotNil(t, got, body)
-		assert.Equal(t, 503, got.StatusCode, "it never ran: trying again is harmless")
+		assert.Equal(t, 503, got.StatusCode, "it never ran: a retry is safe")
 		assert.Less(t, time.Since(began), 2*time.Second)
 	})
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		ln.Close()
@@ -220,7 +221,7 @@
 	})
 }
 
-// A client may take longer than its own time-out to send: its time counts from the last byte.
+// A client may take longer than its timeout to send its request: the timeout counts from the last byte.
 func TestClientTimeoutCountsFromTheLastByte(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	r := startSidecar(t, listOf(s), nil)
@@ -234,7 +235,7 @@
 	}
 }
 
-// Many long answers at once to clients who don't read: what is held stays within its bound.
+// With many long answers at once to clients that don't read, memory stays within its bound.
 func TestMemoryOfManyStreamsIsBounded(t *testing.T) {
 	part := make([]byte, 1<<16)
 	s := newStubEndpoint(t, func(c net.Conn, _ *http.Request) bool {
@@ -259,7 +260,8 @@
 	assert.Less(t, int64(after.HeapAlloc)-int64(before.HeapAlloc), int64(many*10*pipeBytes), "of 32 MB each")
 }
 
-// An endpoint that is broken off while its long answer is under way, and one whose time is over before the first byte.
+// A pipe makes its writer wait while it is full, hands over data in order and then the first error of its end, and fails
+// writes once it is discarded.
 func TestBodyPipe(t *testing.T) {
 	f, part := newBodyPipe(), bytes.Repeat([]byte("x"), copyChunkBytes)
 	assert.NoError(t, f.write(part))
@@ -268,7 +270,7 @@
 	go func() { waits <- f.write(part) }()
 	select {
 	case <-waits:
-		t.Error("a full flow lets its writer wait")
+		t.Error("write did not wait although the pipe is full")
 	case <-time.After(20 * time.Millisecond):
 	}
 	got, err := f.read(nil)
@@ -280,9 +282,9 @@
 	got, _ = f.read(got)
 	assert.Len(t, got, copyChunkBytes)
 	_, err = f.read(got)
-	assert.Equal(t, io.ErrUnexpectedEOF, err, "the first word on its end stands")
+	assert.Equal(t, io.ErrUnexpectedEOF, err, "the first close counts")
 	f = newBodyPipe()
-	assert.NoError(t, f.write(bytes.Repeat(part, 3)), "a part larger than the flow finds room in an empty one")
+	assert.NoError(t, f.write(bytes.Repeat(part, 3)), "an empty pipe takes a part larger than its bound")
 	go func() { waits <- f.write(part) }()
 	f.discard()
 	assert.Equal(t, errReaderGone, <-waits)
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -18,15 +18,15 @@
 	"github.com/lynxjunction/lynxjunction/logic"
 )
 
-// Found by reading accept(2) beside net/http: the server ends at every error of accept that Go does not call temporary, and with it
-// the process and all that it holds. Linux passes errors of the network that lie on a new connection through accept, and gives
-// ENOBUFS and ENOMEM where socket memory is short for a moment.
+// acceptErrnos are the errors that accept(2) may return on Linux: pending network errors of a new connection, and ENOBUFS and
+// ENOMEM while socket memory is short for a moment. Net/http ends the server at every error that Go does not consider
+// temporary, and with it the process and all its exchanges; found by reading accept(2) and net/http.
 var acceptErrnos = []syscall.Errno{
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ETIMEDOUT,
 }
 
-// Whatever accept fails with, the next client is served soon after, and the loop does not spin meanwhile.
+// After any error of accept the next client is served soon, and the accept loop does not spin meanwhile.
 func TestAcceptContinuesAfterSystemErrors(t *testing.T) {
 	for _, errno := range acceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// A connection that we can't open for want of something of our own says nothing of its endpoint; one that the endpoint or the way
-// to it refuses does. Neither was sent.
+// A connection that fails for lack of a local resource does not count against its endpoint; one that the endpoint or the network
+// refuses does. In neither case was the request sent.
 func TestLocalDialErrorsDoNotBlameTheEndpoint(t *testing.T) {
 	for errno, want := range map[syscall.Errno]logic.Outcome{
 		syscall.EMFILE: logic.NotSent, syscall.ENFILE: logic.NotSent, syscall.ENOBUFS: logic.NotSent, syscall.ENOMEM: logic.NotSent,
@@ -87,7 +87,7 @@
 	}
 }
 
-// failingListener fails its first accepts.
+// failingListener fails its first calls of Accept with the errors in fails.
 type failingListener struct {
 	net.Listener
 	fails []syscall.Errno
@@ -102,7 +102,7 @@
 	return l.Listener.Accept()
 }
 
-// The console's listener goes on in the same way, and ends when it is closed.
+// The console's listener also continues after errors of accept, and ends when it is closed.
 func TestConsoleAcceptContinuesAfterSystemErrors(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -121,8 +121,9 @@
 	assert.ErrorIs(t, err, net.ErrClosed)
 }
 
-// Found by the soak (seed 5012: idle clients fill the descriptors): a request that waits with its connection to be accepted is told
-// its endpoint with its whole time, half a second more than its client has left. When its bytes came the process does not look up.
+// Guards against a fault found by the soak (seed 5012: idle clients fill the descriptors): a request that waited with its
+// connection to be accepted was sent to its endpoint with its full timeout, half a second more than its client had left, since
+// the process did not ask the kernel when the bytes had arrived.
 func TestDeadlineIncludesTheWaitToBeAccepted(t *testing.T) {
 	const wait, slack = 400 * time.Millisecond, 150 * time.Millisecond
 	s := newStubEndpoint(t, respondWith(okResponse, true))
@@ -140,6 +141,6 @@
 		require.NoError(t, err)
 		assert.LessOrEqual(t, sentTimeout, time.Second-wait+slack)
 	case <-time.After(5 * time.Second):
-		t.Error("nothing is sent on")
+		t.Error("nothing was sent to the endpoint")
 	}
 }
