--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -27,7 +27,7 @@
 )
 
 //go:embed rehearsals/*.toml
-var rehearsals embed.FS
+var scenarioFiles embed.FS
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -43,58 +43,58 @@
 }
 
 // how is what the flags say.
-type how struct {
-	program, other, out, policy string
-	virtual                     bool
-	seed                        uint64
-	keep                        bool   // start files and logs, when a rule is broken too
-	keepAll                     bool   // in any case
-	kept                        string // their folder, if they were kept
+type runOptions struct {
+	program, upgradeProgram, outDir, policy string
+	virtual                                 bool
+	seed                                    uint64
+	keepOnViolation                         bool   // start files and logs, when a rule is broken too
+	keepAlways                              bool   // in any case
+	keptDir                                 string // their folder, if they were kept
 }
 
 func root() *cobra.Command {
-	h := &how{}
-	all := &cobra.Command{Use: "lab", Short: "Rehearse fleets of sidecars with faults between them", SilenceUsage: true, SilenceErrors: true}
-	flags := func(c *cobra.Command) *cobra.Command {
-		c.Flags().StringVar(&h.program, "program", beside("lynxjunction"), "the program that is played with")
-		c.Flags().StringVar(&h.other, "other", "", "the build that an upgrade starts; the same if left out")
-		c.Flags().StringVar(&h.out, "out", "", "folder for the report; found/NAME-TIME if left out")
-		c.Flags().Uint64Var(&h.seed, "seed", 0, "in place of the scenario's")
-		c.Flags().BoolVar(&h.virtual, "virtual", false, "the decisions in virtual time, without processes")
-		c.Flags().BoolVar(&h.keepAll, "keep", false, "keep start files and logs when all went well too")
-		c.Flags().StringVar(&h.policy, "policy", "lynxjunction", "in virtual time: "+policies())
+	options := &runOptions{}
+	rootCmd := &cobra.Command{Use: "lab", Short: "Rehearse fleets of sidecars with faults between them", SilenceUsage: true, SilenceErrors: true}
+	withRunFlags := func(c *cobra.Command) *cobra.Command {
+		c.Flags().StringVar(&options.program, "program", siblingProgram("lynxjunction"), "the program that is played with")
+		c.Flags().StringVar(&options.upgradeProgram, "other", "", "the build that an upgrade starts; the same if left out")
+		c.Flags().StringVar(&options.outDir, "out", "", "folder for the report; found/NAME-TIME if left out")
+		c.Flags().Uint64Var(&options.seed, "seed", 0, "in place of the scenario's")
+		c.Flags().BoolVar(&options.virtual, "virtual", false, "the decisions in virtual time, without processes")
+		c.Flags().BoolVar(&options.keepAlways, "keep", false, "keep start files and logs when all went well too")
+		c.Flags().StringVar(&options.policy, "policy", "lynxjunction", "in virtual time: "+policies())
 		return c
 	}
-	run := flags(&cobra.Command{
+	runCmd := withRunFlags(&cobra.Command{
 		Use: "run FILE", Short: "Play a scenario; exit 1 if a rule is broken or a process fails", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, text, err := load(args[0])
+			s, text, err := loadScenario(args[0])
 			if err != nil {
 				return err
 			}
-			return h.run(c, s, text, strings.TrimSuffix(filepath.Base(args[0]), ".toml"))
+			return options.run(c, s, text, strings.TrimSuffix(filepath.Base(args[0]), ".toml"))
 		},
 	})
-	demo := flags(&cobra.Command{
+	demoCmd := withRunFlags(&cobra.Command{
 		Use: "demo", Short: "Twenty seconds with a slow endpoint, a cut link and a killed sidecar", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			s, text, err := demoFile()
+			s, text, err := loadDemo()
 			if err != nil {
 				return err
 			}
-			return h.run(c, s, text, "demo")
+			return options.run(c, s, text, "demo")
 		},
 	})
-	config := &cobra.Command{
+	configCmd := &cobra.Command{
 		Use: "config", Short: "Print a commented start file, which lynxjunction check accepts", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return sample(c.OutOrStdout()) },
+		RunE: func(c *cobra.Command, _ []string) error { return writeSampleConfig(c.OutOrStdout()) },
 	}
-	show := &cobra.Command{
+	reportCmd := &cobra.Command{
 		Use: "report DIR", Short: "Print the tables of a report", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error { return printReport(c.OutOrStdout(), args[0]) },
 	}
-	all.AddCommand(run, demo, config, show, compareCommand(), soakCommand())
-	return all
+	rootCmd.AddCommand(runCmd, demoCmd, configCmd, reportCmd, compareCommand(), soakCommand())
+	return rootCmd
 }
 
 func policies() string {
@@ -106,7 +106,7 @@
 }
 
 // beside finds another program where this one is.
-func beside(name string) string {
+func siblingProgram(name string) string {
 	own, err := os.Executable()
 	if err != nil {
 		return name
@@ -114,7 +114,7 @@
 	return filepath.Join(filepath.Dir(own), name)
 }
 
-func load(path string) (*scenario.Scenario, []byte, error) {
+func loadScenario(path string) (*scenario.Scenario, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
@@ -124,8 +124,8 @@
 }
 
 // demoFile is the demo's scenario, and its text.
-func demoFile() (*scenario.Scenario, []byte, error) {
-	text, err := rehearsals.ReadFile("rehearsals/demo.toml")
+func loadDemo() (*scenario.Scenario, []byte, error) {
+	text, err := scenarioFiles.ReadFile("rehearsals/demo.toml")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -133,34 +133,34 @@
 	return s, text, err
 }
 
-var errBroken = errors.New("a rule was broken")
+var errRuleViolated = errors.New("a rule was broken")
 
 // run plays one scenario, prints what it showed and writes the report.
-func (h *how) run(c *cobra.Command, s *scenario.Scenario, text []byte, name string) error {
+func (h *runOptions) run(c *cobra.Command, s *scenario.Scenario, text []byte, name string) error {
 	if h.seed > 0 {
 		s.Seed = h.seed
 	}
-	out := h.out
+	out := h.outDir
 	if out == "" {
 		out = filepath.Join("found", name+"-"+time.Now().Format("20060102T150405"))
 	}
-	say := progress(c.ErrOrStderr())
-	h.keep = true
-	book, result, err := h.play(c.Context(), s, say)
+	report := progress(c.ErrOrStderr())
+	h.keepOnViolation = true
+	book, result, err := h.execute(c.Context(), s, report)
 	defer func() {
-		if h.kept != "" {
-			fmt.Fprintln(c.OutOrStdout(), "start files and logs:", h.kept)
+		if h.keptDir != "" {
+			fmt.Fprintln(c.OutOrStdout(), "start files and logs:", h.keptDir)
 		}
 	}()
 	if book == nil {
 		return err
 	}
-	r := summary(s, book, result)
+	r := buildReport(s, book, result)
 	r.Scenario = string(text)
-	if h.kept != "" {
-		r.Facts = append(r.Facts, [2]string{"start files and logs", h.kept})
+	if h.keptDir != "" {
+		r.Facts = append(r.Facts, [2]string{"start files and logs", h.keptDir})
 	}
-	r.Facts = append([][2]string{{"seed", fmt.Sprint(s.Seed)}, {"revision", revision()}, {"program", h.what()}}, r.Facts...)
+	r.Facts = append([][2]string{{"seed", fmt.Sprint(s.Seed)}, {"revision", revision()}, {"program", h.targetLabel()}}, r.Facts...)
 	if err != nil {
 		r.Verdict = "FAILED: " + strings.SplitN(err.Error(), "\n", 2)[0]
 	}
@@ -169,7 +169,7 @@
 			fmt.Fprintf(c.OutOrStdout(), "%s\n%s\n", t.Title, t.Text())
 		}
 	}
-	fmt.Fprint(c.OutOrStdout(), bars(s, book))
+	fmt.Fprint(c.OutOrStdout(), endpointBars(s, book))
 	for n, b := range r.Broken {
 		if n == 5 {
 			fmt.Fprintf(c.OutOrStdout(), "and %d more, in the report\n", len(r.Broken)-n)
@@ -178,17 +178,17 @@
 		fmt.Fprintln(c.OutOrStdout(), b)
 	}
 	fmt.Fprintln(c.OutOrStdout(), r.Verdict)
-	if wrong := r.Write(out); wrong != nil {
-		return errors.Join(err, wrong)
+	if writeErr := r.Write(out); writeErr != nil {
+		return errors.Join(err, writeErr)
 	}
 	fmt.Fprintln(c.OutOrStdout(), "report:", filepath.Join(out, "index.html"))
 	if err == nil && len(r.Broken) > 0 {
-		err = errBroken
+		err = errRuleViolated
 	}
 	return err
 }
 
-func (h *how) what() string {
+func (h *runOptions) targetLabel() string {
 	if h.virtual {
 		return h.policy + ", virtual time"
 	}
@@ -197,16 +197,16 @@
 
 // play returns the accounts. With processes, start files and logs go to a folder that is removed when all went well, and in a
 // comparison when rules were broken.
-func (h *how) play(ctx context.Context, s *scenario.Scenario, say func(float64, string)) (*records.Book, *rig.Result, error) {
+func (h *runOptions) execute(ctx context.Context, s *scenario.Scenario, progress func(float64, string)) (*records.Book, *rig.Result, error) {
 	if h.virtual {
-		maker := virtual.Baselines[h.policy]
-		if maker == nil {
+		newPolicy := virtual.Baselines[h.policy]
+		if newPolicy == nil {
 			return nil, nil, fmt.Errorf("--policy: %q is none of %s", h.policy, policies())
 		}
-		began := time.Now()
-		book, err := virtual.Run(s, maker)
+		startedAt := time.Now()
+		book, err := virtual.Run(s, newPolicy)
 		if err == nil {
-			say(s.Length*1000, fmt.Sprintf("%.0f times faster than the clock", s.Length/time.Since(began).Seconds()))
+			progress(s.Length*1000, fmt.Sprintf("%.0f times faster than the clock", s.Length/time.Since(startedAt).Seconds()))
 		}
 		return book, nil, err
 	}
@@ -217,11 +217,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &rig.Rig{Program: h.program, Other: h.other, Dir: dir, Say: say}
+	r := &rig.Rig{Program: h.program, Other: h.upgradeProgram, Dir: dir, Say: progress}
 	result, err := r.Run(ctx, s)
-	if err != nil || h.keepAll || h.keep && len(result.Broken) > 0 {
-		h.kept = dir
-		say(0, "start files and logs: "+dir)
+	if err != nil || h.keepAlways || h.keepOnViolation && len(result.Broken) > 0 {
+		h.keptDir = dir
+		progress(0, "start files and logs: "+dir)
 	} else {
 		os.RemoveAll(dir)
 	}
@@ -249,8 +249,8 @@
 }
 
 // sample is a start file with a comment beside each part. JSON has none: they are keys that the program ignores.
-func sample(w io.Writer) error {
-	s, _, err := demoFile()
+func writeSampleConfig(w io.Writer) error {
+	s, _, err := loadDemo()
 	if err != nil {
 		return err
 	}
--- a/cmd/lab/main_test.go
+++ b/cmd/lab/main_test.go
@@ -15,7 +15,7 @@
 	"github.com/lynxjunction/lynxjunction/internal/sidecar"
 )
 
-func lab(args ...string) (string, error) {
+func runLab(args ...string) (string, error) {
 	c := root()
 	var out bytes.Buffer
 	c.SetOut(&out)
@@ -27,14 +27,14 @@
 
 // The sample start file is one that the program takes.
 func TestSampleStartFile(t *testing.T) {
-	text, err := lab("config")
+	text, err := runLab("config")
 	require.NoError(t, err)
 	s, err := sidecar.Decode([]byte(text))
 	require.NoError(t, err)
 	assert.Contains(t, s.String(), "2 products, 1 endpoints known")
 }
 
-func TestRehearsalsInTheRepository(t *testing.T) {
+func TestRepositoryScenariosAreValid(t *testing.T) {
 	all, err := filepath.Glob("rehearsals/*.toml")
 	require.NoError(t, err)
 	assert.NotEmpty(t, all)
@@ -47,34 +47,34 @@
 // A whole way in virtual time: run, report, and a second run into the same folder refused.
 func TestRunAndReport(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "r")
-	out, err := lab("run", "rehearsals/demo.toml", "--virtual", "--out", dir)
+	out, err := runLab("run", "rehearsals/demo.toml", "--virtual", "--out", dir)
 	require.NoError(t, err, out)
 	assert.Contains(t, out, "kept: no exchange lost")
-	text, err := lab("report", dir)
+	text, err := runLab("report", dir)
 	require.NoError(t, err)
 	assert.Contains(t, text, "4-9 s, look")
-	_, err = lab("run", "rehearsals/demo.toml", "--virtual", "--out", dir)
+	_, err = runLab("run", "rehearsals/demo.toml", "--virtual", "--out", dir)
 	assert.ErrorContains(t, err, "there already")
-	_, err = lab("report", t.TempDir())
+	_, err = runLab("report", t.TempDir())
 	assert.ErrorContains(t, err, "holds no report")
-	_, err = lab("run", "rehearsals/demo.toml", "--virtual", "--policy", "luck")
+	_, err = runLab("run", "rehearsals/demo.toml", "--virtual", "--policy", "luck")
 	assert.ErrorContains(t, err, `"luck" is none of`)
-	_, err = lab("run", "rehearsals/demo.toml", "--program", "/nowhere")
+	_, err = runLab("run", "rehearsals/demo.toml", "--program", "/nowhere")
 	assert.ErrorContains(t, err, "build it first")
 }
 
 // The same thing compared with itself shows no difference; random choice beside the module does.
 func TestCompare(t *testing.T) {
-	out, err := lab("compare", "rehearsals/demo.toml", "--virtual", "--seeds", "3", "--workers", "3")
+	out, err := runLab("compare", "rehearsals/demo.toml", "--virtual", "--seeds", "3", "--workers", "3")
 	require.NoError(t, err)
 	assert.Equal(t, 7, strings.Count(out, "no difference shown"), out)
-	out, err = lab("compare", "rehearsals/demo.toml", "--virtual", "--seeds", "4", "--workers", "4", "--policy-b", "random")
+	out, err = runLab("compare", "rehearsals/demo.toml", "--virtual", "--seeds", "4", "--workers", "4", "--policy-b", "random")
 	require.NoError(t, err)
 	assert.Regexp(t, `legs each .* differs`, out)
 }
 
 // A wrong file: one line with file, line and key, exit 1, and nothing run.
-func TestWrongFile(t *testing.T) {
+func TestInvalidScenarioFile(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "lab")
 	text, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput()
 	require.NoError(t, err, string(text))
@@ -97,7 +97,7 @@
 }
 
 // brokenRun plays a rehearsal of three seconds with a program that goes on sending to what drains.
-func brokenRun(t *testing.T) (out string, err error) {
+func runWithDrainDefect(t *testing.T) (out string, err error) {
 	program := filepath.Join(t.TempDir(), "lynxjunction")
 	text, err := exec.Command("go", "build", "-tags", "seeded", "-o", program, "../lynxjunction").CombinedOutput()
 	require.NoError(t, err, string(text))
@@ -122,12 +122,12 @@
 `), 0o600))
 	t.Setenv("LYNXJUNCTION_DEFECT", "drains")
 	t.Setenv("TMPDIR", t.TempDir())
-	return lab("run", path, "--program", program, "--out", filepath.Join(t.TempDir(), "r"))
+	return runLab("run", path, "--program", program, "--out", filepath.Join(t.TempDir(), "r"))
 }
 
-func TestLogsAreKeptWhenARuleIsBroken(t *testing.T) {
-	out, err := brokenRun(t)
-	require.ErrorIs(t, err, errBroken, out)
+func TestLogsAreKeptOnRuleViolation(t *testing.T) {
+	out, err := runWithDrainDefect(t)
+	require.ErrorIs(t, err, errRuleViolated, out)
 	_, dir, named := strings.Cut(strings.TrimSpace(out), "start files and logs: ")
 	require.True(t, named, out)
 	for _, name := range []string{"s0.log", "start.json"} {
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -22,12 +22,12 @@
 
 // soakFlags are what the flags of lab soak say.
 type soakFlags struct {
-	seeds, parallel int
-	from            uint64
-	large, json     bool
-	reduce          bool
-	program, out    string
-	profile         string
+	seedCount, parallel int
+	firstSeed           uint64
+	large, jsonOutput   bool
+	reduce              bool
+	program, outDir     string
+	profile             string
 }
 
 func soakCommand() *cobra.Command {
@@ -36,27 +36,27 @@
 		Use: "soak", Short: "Play rehearsals drawn from seeds, with overlapping faults; exit 1 if a rule is broken", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return f.run(c) },
 	}
-	c.Flags().IntVar(&f.seeds, "seeds", 50, "how many seeds are played")
-	c.Flags().Uint64Var(&f.from, "from", 1, "the first seed")
+	c.Flags().IntVar(&f.seedCount, "seeds", 50, "how many seeds are played")
+	c.Flags().Uint64Var(&f.firstSeed, "from", 1, "the first seed")
 	c.Flags().IntVar(&f.parallel, "parallel", 2, "how many are played at once")
 	c.Flags().BoolVar(&f.large, "large", false, "fleets of up to 100 sidecars")
 	c.Flags().BoolVar(&f.reduce, "reduce", true, "reduce what breaks a rule to the faults that it needs (up to 20 more plays)")
-	c.Flags().BoolVar(&f.json, "json", false, "a JSON object for each seed")
-	c.Flags().StringVar(&f.program, "program", beside("lynxjunction"), "the program that is played with")
+	c.Flags().BoolVar(&f.jsonOutput, "json", false, "a JSON object for each seed")
+	c.Flags().StringVar(&f.program, "program", siblingProgram("lynxjunction"), "the program that is played with")
 	c.Flags().StringVar(&f.profile, "profile", soak.General, "what is drawn: "+strings.Join(soak.Profiles(), ", ")+"; all but the first judge service too")
-	c.Flags().StringVar(&f.out, "out", "found", "folder for schedules, timelines and logs of what broke")
+	c.Flags().StringVar(&f.outDir, "out", "found", "folder for schedules, timelines and logs of what broke")
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	return c
 }
 
 // soakLine is what is printed of one seed.
 type soakLine struct {
-	Seed     uint64   `json:"seed"`
-	Asked    int      `json:"asked"`
-	Faults   int      `json:"faults"`
-	Broken   []string `json:"broken,omitempty"`
-	Error    string   `json:"error,omitempty"`
-	Schedule string   `json:"schedule,omitempty"`
+	Seed        uint64   `json:"seed"`
+	Requests    int      `json:"asked"`
+	Faults      int      `json:"faults"`
+	BrokenRules []string `json:"broken,omitempty"`
+	Error       string   `json:"error,omitempty"`
+	Schedule    string   `json:"schedule,omitempty"`
 }
 
 func (l soakLine) print(w io.Writer, asJSON bool) {
@@ -65,21 +65,21 @@
 		return
 	}
 	verdict := "all rules kept"
-	if len(l.Broken) > 0 {
-		verdict = "BROKEN: " + strings.Join(l.Broken, ", ")
+	if len(l.BrokenRules) > 0 {
+		verdict = "BROKEN: " + strings.Join(l.BrokenRules, ", ")
 	}
 	if l.Error != "" {
 		verdict = "NOT PLAYED: " + l.Error
 	}
-	fmt.Fprintf(w, "seed %d: %d requests, %d faults, %s\n", l.Seed, l.Asked, l.Faults, verdict)
+	fmt.Fprintf(w, "seed %d: %d requests, %d faults, %s\n", l.Seed, l.Requests, l.Faults, verdict)
 	if l.Schedule != "" {
 		fmt.Fprintf(w, "  again: bin/lab run %s\n", l.Schedule)
 	}
 }
 
 func (f *soakFlags) run(c *cobra.Command) error {
-	if f.seeds < 1 {
-		return usageError{fmt.Errorf("--seeds: %d is below 1", f.seeds)}
+	if f.seedCount < 1 {
+		return usageError{fmt.Errorf("--seeds: %d is below 1", f.seedCount)}
 	}
 	if f.parallel < 1 {
 		return usageError{fmt.Errorf("--parallel: %d is below 1", f.parallel)}
@@ -87,48 +87,48 @@
 	if !slices.Contains(soak.Profiles(), f.profile) {
 		return usageError{fmt.Errorf("--profile: %q is none of %s", f.profile, strings.Join(soak.Profiles(), ", "))}
 	}
-	say := progress(c.ErrOrStderr())
-	p := &soak.Player{Program: f.program, Large: f.large, Profile: f.profile, Say: func(text string) { say(0, text) }}
+	report := progress(c.ErrOrStderr())
+	runner := &soak.Runner{Program: f.program, Large: f.large, Profile: f.profile, Progress: func(text string) { report(0, text) }}
 	seeds, failed := make(chan uint64), 0
 	var mu sync.Mutex
-	var players sync.WaitGroup
+	var workers sync.WaitGroup
 	for range f.parallel {
-		players.Go(func() {
+		workers.Go(func() {
 			for seed := range seeds {
-				line := f.playOne(c.Context(), p, seed)
+				line := f.runSeed(c.Context(), runner, seed)
 				mu.Lock()
-				if line.print(c.OutOrStdout(), f.json); len(line.Broken) > 0 || line.Error != "" {
+				if line.print(c.OutOrStdout(), f.jsonOutput); len(line.BrokenRules) > 0 || line.Error != "" {
 					failed++
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	for n := range f.seeds {
+	for n := range f.seedCount {
 		if c.Context().Err() != nil {
 			break
 		}
-		seeds <- f.from + uint64(n)
+		seeds <- f.firstSeed + uint64(n)
 	}
 	close(seeds)
-	players.Wait()
+	workers.Wait()
 	if err := c.Context().Err(); err != nil {
 		return errors.New("ended before all seeds were played")
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d seeds failed", failed, f.seeds)
+		return fmt.Errorf("%d of %d seeds failed", failed, f.seedCount)
 	}
 	return nil
 }
 
 // playOne plays a seed; one that breaks a rule is reduced and kept.
-func (f *soakFlags) playOne(ctx context.Context, p *soak.Player, seed uint64) soakLine {
-	v := p.PlaySeed(ctx, seed)
+func (f *soakFlags) runSeed(ctx context.Context, p *soak.Runner, seed uint64) soakLine {
+	v := p.RunSeed(ctx, seed)
 	if f.reduce && v.Failed() && v.Err == nil {
 		v = p.Reduce(ctx, v)
 	}
 	defer v.Close()
-	line := soakLine{Seed: seed, Asked: v.Asked, Broken: v.Rules()}
+	line := soakLine{Seed: seed, Requests: v.Requests, BrokenRules: v.BrokenRules()}
 	if v.Err != nil {
 		line.Error = strings.SplitN(v.Err.Error(), "\n", 2)[0]
 	}
@@ -137,7 +137,7 @@
 	}
 	line.Faults = len(v.Scenario.Faults)
 	if v.Failed() {
-		dir := filepath.Join(f.out, fmt.Sprint("soak-", seed))
+		dir := filepath.Join(f.outDir, fmt.Sprint("soak-", seed))
 		if err := v.Write(dir); err != nil {
 			line.Error = strings.TrimSpace(line.Error + " " + err.Error())
 		}
--- a/cmd/lynxjunction/crowded_discovery_test.go
+++ b/cmd/lynxjunction/crowded_discovery_test.go
@@ -23,27 +23,27 @@
 // has counts as notified 6 s after it could be reached, and requests went on to the endpoint that drains.
 
 const (
-	crowdProcesses = 20
-	crowdRound     = 4800 * time.Millisecond // the work of one call of each process
-	crowdWork      = crowdRound / crowdProcesses
-	crowdPatience  = 3 * time.Second
-	crowdOutage    = 5 * time.Second
+	overloadProcesses = 20
+	overloadRound     = 4800 * time.Millisecond // the work of one call of each process
+	overloadCallWork  = overloadRound / overloadProcesses
+	overloadMaxWait   = 3 * time.Second
+	overloadOutage    = 5 * time.Second
 )
 
 // crowdedDiscovery tells its list, to each call when its turn has come, and then beats.
-type crowdedDiscovery struct {
+type overloadedDiscovery struct {
 	queue   *callqueue.Queue
 	mu      sync.Mutex
 	list    string
 	watches chan struct{} // closed to end the watches
 }
 
-func newCrowdedDiscovery(policy callqueue.Policy, list string) *crowdedDiscovery {
-	return &crowdedDiscovery{queue: callqueue.New(crowdWork, crowdPatience, policy), list: list, watches: make(chan struct{})}
+func newOverloadedDiscovery(policy callqueue.Policy, list string) *overloadedDiscovery {
+	return &overloadedDiscovery{queue: callqueue.New(overloadCallWork, overloadMaxWait, policy), list: list, watches: make(chan struct{})}
 }
 
 // answering serves one process, which is known by the address that it calls.
-func (d *crowdedDiscovery) answering(process string) http.HandlerFunc {
+func (d *overloadedDiscovery) handlerFor(process string) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		if d.queue.Take(r.Context(), process) != nil {
 			rw.WriteHeader(http.StatusServiceUnavailable)
@@ -67,7 +67,7 @@
 }
 
 // goDown ends all watches and refuses all calls; comeBack ends that, with another list.
-func (d *crowdedDiscovery) goDown() {
+func (d *overloadedDiscovery) goDown() {
 	d.queue.Down()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,7 +75,7 @@
 	d.watches = make(chan struct{})
 }
 
-func (d *crowdedDiscovery) comeBack(list string) time.Time {
+func (d *overloadedDiscovery) comeBack(list string) time.Time {
 	d.mu.Lock()
 	d.list = list
 	d.mu.Unlock()
@@ -84,43 +84,43 @@
 }
 
 // crowdTrial is a fleet before one discovery, with an endpoint that will drain and one that stays.
-type crowdTrial struct {
-	*world
-	discovery *crowdedDiscovery
-	endpoints [2]string
-	listens   []string
-	mu        sync.Mutex
-	last      map[string]time.Time // request to the endpoint that drains, by process
+type overloadTrial struct {
+	*testEnv
+	discovery        *overloadedDiscovery
+	endpoints        [2]string
+	listenAddrs      []string
+	mu               sync.Mutex
+	lastDrainRequest map[string]time.Time // request to the endpoint that drains, by process
 }
 
-func (c *crowdTrial) list(version int, state string) string {
+func (c *overloadTrial) list(version int, state string) string {
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[`+
 		`{"id":"s0","addr":%q,"zone":"a","cell":1,"state":%q,"weight":1,"started_ms":0},`+
 		`{"id":"s1","addr":%q,"zone":"a","cell":1,"state":"in_service","weight":1,"started_ms":0}]}`, version, c.endpoints[0], state, c.endpoints[1])
 }
 
-func newCrowdTrial(t *testing.T, policy callqueue.Policy) *crowdTrial {
-	c := &crowdTrial{world: &world{T: t}, last: map[string]time.Time{}}
+func newOverloadTrial(t *testing.T, policy callqueue.Policy) *overloadTrial {
+	c := &overloadTrial{testEnv: &testEnv{T: t}, lastDrainRequest: map[string]time.Time{}}
 	c.endpoints[0] = c.serve(func(rw http.ResponseWriter, r *http.Request) {
 		process, _, _ := strings.Cut(r.Header.Get("Request-Id"), "-")
 		c.mu.Lock()
-		c.last[process] = time.Now()
+		c.lastDrainRequest[process] = time.Now()
 		c.mu.Unlock()
 		io.WriteString(rw, "hello")
 	})
 	c.endpoints[1] = c.serve(func(rw http.ResponseWriter, _ *http.Request) { io.WriteString(rw, "hello") })
-	c.discovery = newCrowdedDiscovery(policy, c.list(1, "in_service"))
+	c.discovery = newOverloadedDiscovery(policy, c.list(1, "in_service"))
 	dir := t.TempDir()
-	for n := range crowdProcesses {
+	for n := range overloadProcesses {
 		c.startProcess(dir, fmt.Sprint("p", n))
 	}
 	return c
 }
 
 // startProcess starts one sidecar and a client that sends it a request every few milliseconds.
-func (c *crowdTrial) startProcess(dir, name string) {
+func (c *overloadTrial) startProcess(dir, name string) {
 	listen := ownAddress(c.T)
-	config := startFile(c.T, dir, listen, c.serve(c.discovery.answering(name)), c.list(0, "in_service"), 512, crowdProcesses)
+	config := startFile(c.T, dir, listen, c.serve(c.discovery.handlerFor(name)), c.list(0, "in_service"), 512, overloadProcesses)
 	process := exec.Command(os.Args[0])
 	process.Env = append(os.Environ(), "LYNXJUNCTION_TEST_SERVE=1", "RELAY_CONFIG="+config)
 	log, err := os.Create(filepath.Join(dir, name+".log"))
@@ -139,10 +139,10 @@
 		defer close(ended)
 		c.load(listen, name, over)
 	}()
-	c.listens = append(c.listens, listen)
+	c.listenAddrs = append(c.listenAddrs, listen)
 }
 
-func (c *crowdTrial) load(listen, name string, over <-chan struct{}) {
+func (c *overloadTrial) load(listen, name string, over <-chan struct{}) {
 	client := &http.Client{Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
 	for n := 0; ; n++ {
@@ -161,8 +161,8 @@
 }
 
 // heard is how many processes have a list of this version.
-func (c *crowdTrial) heard(version int) (many int) {
-	for _, listen := range c.listens {
+func (c *overloadTrial) countWithVersion(version int) (many int) {
+	for _, listen := range c.listenAddrs {
 		if _, page := get(listen, "/counters"); strings.Contains(page, fmt.Sprintf("\nlist_version %d\n", version)) {
 			many++
 		}
@@ -171,28 +171,28 @@
 }
 
 // A fleet whose calls together are nearly all that discovery can do in the time keeps a drain that came while it was down.
-func TestDrainsAreKeptBeforeACrowdedDiscovery(t *testing.T) {
+func TestDrainsAreHonoredWithOverloadedDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		policy callqueue.Policy
 	}{{"calls wait for their turn", callqueue.Wait}, {"calls that would wait long are refused", callqueue.Refuse}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			trial := newCrowdTrial(t, c.policy)
-			require.Eventually(t, func() bool { return trial.heard(1) == crowdProcesses }, 2*crowdRound, 50*time.Millisecond,
+			trial := newOverloadTrial(t, c.policy)
+			require.Eventually(t, func() bool { return trial.countWithVersion(1) == overloadProcesses }, 2*overloadRound, 50*time.Millisecond,
 				"all processes hear a list after their start")
 			trial.discovery.goDown()
-			time.Sleep(crowdOutage)
+			time.Sleep(overloadOutage)
 			back := trial.discovery.comeBack(trial.list(2, "terminating"))
 			bound := notifiedAfterReturn + drainGrace + socketSlack
 			time.Sleep(time.Until(back.Add(bound + 2*time.Second)))
 			trial.mu.Lock()
 			defer trial.mu.Unlock()
-			require.Len(t, trial.last, crowdProcesses, "each sent to it while it was in service")
-			for process, last := range trial.last {
+			require.Len(t, trial.lastDrainRequest, overloadProcesses, "each sent to it while it was in service")
+			for process, last := range trial.lastDrainRequest {
 				assert.LessOrEqual(t, last.Sub(back), bound, "last request of %s to the endpoint that drains", process)
 			}
-			assert.LessOrEqual(t, trial.discovery.queue.CallCount(), 6*crowdProcesses, "calls after discovery's return")
+			assert.LessOrEqual(t, trial.discovery.queue.CallCount(), 6*overloadProcesses, "calls after discovery's return")
 		})
 	}
 }
--- a/cmd/lynxjunction/drain_after_faults_test.go
+++ b/cmd/lynxjunction/drain_after_faults_test.go
@@ -48,7 +48,7 @@
 // faultyAnswer is one answer of discovery that brings no list.
 type faultyAnswer func(rw http.ResponseWriter, r *http.Request, list string)
 
-func takeOver(rw http.ResponseWriter) net.Conn {
+func hijackConnection(rw http.ResponseWriter) net.Conn {
 	conn, _, err := rw.(http.Hijacker).Hijack()
 	if err != nil {
 		panic(err)
@@ -68,14 +68,14 @@
 
 var faultyAnswers = map[string]faultyAnswer{
 	"busy":   func(rw http.ResponseWriter, _ *http.Request, _ string) { rw.WriteHeader(http.StatusServiceUnavailable) },
-	"reset":  func(rw http.ResponseWriter, _ *http.Request, _ string) { resetConnection(takeOver(rw)) },
+	"reset":  func(rw http.ResponseWriter, _ *http.Request, _ string) { resetConnection(hijackConnection(rw)) },
 	"silent": func(_ http.ResponseWriter, r *http.Request, _ string) { <-r.Context().Done() },
 	"head only": func(rw http.ResponseWriter, r *http.Request, _ string) {
 		rw.(http.Flusher).Flush()
 		<-r.Context().Done()
 	},
 	"half a head": func(rw http.ResponseWriter, r *http.Request, _ string) {
-		conn := takeOver(rw)
+		conn := hijackConnection(rw)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-")
 		io.Copy(io.Discard, conn)
 		conn.Close()
@@ -86,7 +86,7 @@
 	},
 	"half a list, reset": func(rw http.ResponseWriter, r *http.Request, list string) {
 		writePart(rw, list)
-		resetConnection(takeOver(rw))
+		resetConnection(hijackConnection(rw))
 	},
 	"a list in drips": func(rw http.ResponseWriter, r *http.Request, list string) {
 		for _, c := range []byte(list) {
@@ -103,11 +103,11 @@
 
 // faultyDiscovery answers its calls by turns with the faults that it is given, then with whole lists and beats.
 type faultyDiscovery struct {
-	mu     sync.Mutex
-	list   string
-	faults []string
-	calls  []time.Time
-	told   chan struct{} // closed to end the watches that told a list
+	mu           sync.Mutex
+	list         string
+	faults       []string
+	calls        []time.Time
+	watchesEnded chan struct{} // closed to end the watches that told a list
 }
 
 func (d *faultyDiscovery) set(list string, faults ...string) {
@@ -120,13 +120,13 @@
 func (d *faultyDiscovery) endWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	close(d.told)
-	d.told = make(chan struct{})
+	close(d.watchesEnded)
+	d.watchesEnded = make(chan struct{})
 }
 
 func (d *faultyDiscovery) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	list, told, fault := d.list, d.told, ""
+	list, watchesEnded, fault := d.list, d.watchesEnded, ""
 	d.calls = append(d.calls, time.Now())
 	if len(d.faults) > 0 {
 		fault, d.faults = d.faults[0], d.faults[1:]
@@ -142,7 +142,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-told:
+		case <-watchesEnded:
 			panic(http.ErrAbortHandler) // the connection ends, with no end of the answer
 		case <-time.After(time.Second):
 		}
@@ -151,24 +151,24 @@
 
 // drainTrial is one sidecar process with load, one endpoint that will drain and one that stays.
 type drainTrial struct {
-	*world
-	process     *exec.Cmd
-	discoveries [2]*faultyDiscovery
-	addrs       [2]string
-	config      string
-	endpoints   [2]string
-	lastDrained atomic.Int64 // when a request came to the endpoint that drains, in nanoseconds since began
-	served      atomic.Int64
-	began       time.Time
+	*testEnv
+	process          *exec.Cmd
+	discoveries      [2]*faultyDiscovery
+	addrs            [2]string
+	config           string
+	endpoints        [2]string
+	lastDrainRequest atomic.Int64 // when a request came to the endpoint that drains, in nanoseconds since began
+	served           atomic.Int64
+	startedAt        time.Time
 }
 
 // trials numbers them, so that each process listens on an address of its own: a free port of a common address may be taken by
 // another trial's connections before the process listens.
-var trials atomic.Int32
+var trialCount atomic.Int32
 
 func ownAddress(t *testing.T) string {
 	const hosts = 254
-	n := trials.Add(1) - 1
+	n := trialCount.Add(1) - 1
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", 49+n/hosts, 1+n%hosts))
 	require.NoError(t, err)
 	defer ln.Close()
@@ -176,18 +176,18 @@
 }
 
 func newDrainTrial(t *testing.T, fleet int) *drainTrial {
-	d := &drainTrial{world: &world{T: t, listen: ownAddress(t)}, began: time.Now()}
+	d := &drainTrial{testEnv: &testEnv{T: t, listen: ownAddress(t)}, startedAt: time.Now()}
 	for n := range d.endpoints {
 		d.endpoints[n] = d.serve(func(rw http.ResponseWriter, _ *http.Request) {
 			if n == 0 {
-				d.lastDrained.Store(int64(time.Since(d.began)))
+				d.lastDrainRequest.Store(int64(time.Since(d.startedAt)))
 			}
 			d.served.Add(1)
 			io.WriteString(rw, "hello")
 		})
 	}
 	for n := range d.discoveries {
-		d.discoveries[n] = &faultyDiscovery{told: make(chan struct{}), list: d.list(1, "in_service")}
+		d.discoveries[n] = &faultyDiscovery{watchesEnded: make(chan struct{}), list: d.list(1, "in_service")}
 		d.addrs[n] = d.serve(d.discoveries[n].ServeHTTP)
 	}
 	d.config = filepath.Join(t.TempDir(), "start.json")
@@ -264,15 +264,15 @@
 			}
 		}
 	}()
-	require.Eventually(d, func() bool { return d.lastDrained.Load() > 0 }, 5*time.Second, time.Millisecond, "it is sent to while in service")
+	require.Eventually(d, func() bool { return d.lastDrainRequest.Load() > 0 }, 5*time.Second, time.Millisecond, "it is sent to while in service")
 }
 
 // keepsDrain waits until the change is known and for a while more, and checks when the last request came to the endpoint.
-func (d *drainTrial) keepsDrain(since time.Time, notified time.Duration, calls *faultyDiscovery) {
+func (d *drainTrial) checkDrain(since time.Time, notified time.Duration, calls *faultyDiscovery) {
 	time.Sleep(time.Until(since.Add(notified + drainGrace + socketSlack)))
 	served := d.served.Load()
 	time.Sleep(time.Second)
-	last := d.began.Add(time.Duration(d.lastDrained.Load())).Sub(since)
+	last := d.startedAt.Add(time.Duration(d.lastDrainRequest.Load())).Sub(since)
 	calls.mu.Lock()
 	times := []string{}
 	for _, at := range calls.calls {
@@ -285,18 +285,18 @@
 }
 
 // drawFaults picks so many faults; the same seed draws the same.
-func drawFaults(seed uint64, many int) (faults []string) {
+func drawFaults(seed uint64, count int) (faults []string) {
 	names := []string{"busy", "reset", "silent", "head only", "half a head", "half a list", "half a list, reset", "a list in drips"}
-	draw := rand.New(rand.NewPCG(seed, 49))
-	for range many {
-		faults = append(faults, names[draw.IntN(len(names))])
+	rng := rand.New(rand.NewPCG(seed, 49))
+	for range count {
+		faults = append(faults, names[rng.IntN(len(names))])
 	}
 	return faults
 }
 
 // Whatever the first calls to a discovery meet, a drain that it has is kept in the time that is owed after the event.
-func TestDrainsAreKeptWhateverCallsToDiscoveryMeet(t *testing.T) {
-	const faultsInARow = 3
+func TestDrainsAreHonoredDespiteFaultyDiscoveryAnswers(t *testing.T) {
+	const consecutiveFaults = 3
 	fleets := []int{1, 6, 30}
 	for _, event := range []struct {
 		name string
@@ -304,14 +304,14 @@
 	}{
 		{"new configuration", func(d *drainTrial, fleet int, faults []string) {
 			d.discoveries[1].set(d.list(2, "terminating"), faults...)
-			d.keepsDrain(d.reload(fleet, d.addrs[1]), notifiedAfterReload, d.discoveries[1])
+			d.checkDrain(d.reload(fleet, d.addrs[1]), notifiedAfterReload, d.discoveries[1])
 		}},
 		{"new configuration while the discovery before is down", func(d *drainTrial, fleet int, faults []string) {
 			d.discoveries[0].set(d.list(1, "in_service"), slices.Repeat([]string{"busy"}, 101)...)
 			d.discoveries[0].endWatches()
 			time.Sleep(4 * time.Second)
 			d.discoveries[1].set(d.list(2, "terminating"), faults...)
-			d.keepsDrain(d.reload(fleet, d.addrs[1]), notifiedAfterReload, d.discoveries[1])
+			d.checkDrain(d.reload(fleet, d.addrs[1]), notifiedAfterReload, d.discoveries[1])
 		}},
 		{"new configurations in a row", func(d *drainTrial, fleet int, faults []string) {
 			d.discoveries[0].set(d.list(2, "terminating"), faults...)
@@ -321,24 +321,24 @@
 				time.Sleep(time.Duration(200+100*n) * time.Millisecond)
 				d.reload(fleet, d.addrs[n%2])
 			}
-			d.keepsDrain(first.Add(900*time.Millisecond), notifiedAfterReload, d.discoveries[0])
+			d.checkDrain(first.Add(900*time.Millisecond), notifiedAfterReload, d.discoveries[0])
 		}},
 		{"a watch that ends instead of telling", func(d *drainTrial, _ int, faults []string) {
 			d.discoveries[0].set(d.list(2, "terminating"), faults...)
 			ended := time.Now()
 			d.discoveries[0].endWatches()
-			d.keepsDrain(ended, notifiedAfterReturn, d.discoveries[0])
+			d.checkDrain(ended, notifiedAfterReturn, d.discoveries[0])
 		}},
 		{"discovery back after a while", func(d *drainTrial, _ int, faults []string) {
 			d.discoveries[0].set(d.list(1, "in_service"), slices.Repeat([]string{"busy"}, 101)...)
 			d.discoveries[0].endWatches()
 			time.Sleep(7 * time.Second)
 			d.discoveries[0].set(d.list(2, "terminating"), faults...)
-			d.keepsDrain(time.Now(), notifiedAfterReturn, d.discoveries[0])
+			d.checkDrain(time.Now(), notifiedAfterReturn, d.discoveries[0])
 		}},
 	} {
 		for n, fleet := range fleets {
-			for _, faults := range [][]string{{"silent", "silent", "silent"}, drawFaults(uint64(n), faultsInARow)} {
+			for _, faults := range [][]string{{"silent", "silent", "silent"}, drawFaults(uint64(n), consecutiveFaults)} {
 				t.Run(fmt.Sprintf("%s, fleet of %d, %s", event.name, fleet, strings.Join(faults, " then ")), func(t *testing.T) {
 					t.Parallel()
 					event.play(newDrainTrial(t, fleet), fleet, faults)
--- a/cmd/lynxjunction/drain_lease_test.go
+++ b/cmd/lynxjunction/drain_lease_test.go
@@ -29,32 +29,32 @@
 const (
 	notifiedAfterEnd = 2 * time.Second // after a watch ended in place of telling the change
 
-	leasePace    = 50 * time.Millisecond // between two requests to one sidecar
-	leaseTimeout = time.Second           // that a request names, where a late answer is looked for
-	longTimeout  = 2400 * time.Millisecond
-	answerGrace  = 500 * time.Millisecond
-	settleTime   = 500 * time.Millisecond // from a list that is heard to requests served again without exception
-
-	queuedWork   = 60 * time.Millisecond
-	queuedBefore = 53                      // calls of others before a sidecar's first one
-	queuedFor    = 3200 * time.Millisecond // that this call waits
-	outageTime   = 4 * time.Second
-	overdue      = 3 * time.Second // after a drain's bound, in which requests to it are looked for
-
-	slowerWork = 10 * time.Millisecond // at the endpoint that stays, so that the other one is chosen as long as it may be
-	heldUpMost = 100 * time.Millisecond
-	playsMost  = 3
+	leaseRequestInterval = 50 * time.Millisecond // between two requests to one sidecar
+	leaseTimeout         = time.Second           // that a request names, where a late answer is looked for
+	longTimeout          = 2400 * time.Millisecond
+	answerGrace          = 500 * time.Millisecond
+	settleTime           = 500 * time.Millisecond // from a list that is heard to requests served again without exception
+
+	queuedCallWork    = 60 * time.Millisecond
+	queuedCalls       = 53                      // calls of others before a sidecar's first one
+	queuedCallWait    = 3200 * time.Millisecond // that this call waits
+	outageTime        = 4 * time.Second
+	lateRequestWindow = 3 * time.Second // after a drain's bound, in which requests to it are looked for
+
+	stayingEndpointWork = 10 * time.Millisecond // at the endpoint that stays, so that the other one is chosen as long as it may be
+	maxTestStall        = 100 * time.Millisecond
+	maxRuns             = 3
 )
 
 // leaseDiscovery is a faultyDiscovery that can be away, and before which calls can wait.
 type leaseDiscovery struct {
 	faultyDiscovery
-	addr  string
-	queue *callqueue.Queue
-	tells bool // watches tell changes
+	addr         string
+	queue        *callqueue.Queue
+	sendsChanges bool // watches tell changes
 
-	watches []chan string
-	silent  int // so many of them, from the first, say nothing more
+	watches       []chan string
+	silentWatches int // so many of them, from the first, say nothing more
 
 	gateMu sync.Mutex
 	gate   chan struct{} // calls wait until it is closed; nil for none
@@ -62,7 +62,7 @@
 }
 
 func newLeaseDiscovery(list string) *leaseDiscovery {
-	return &leaseDiscovery{faultyDiscovery: faultyDiscovery{told: make(chan struct{}), list: list}}
+	return &leaseDiscovery{faultyDiscovery: faultyDiscovery{watchesEnded: make(chan struct{}), list: list}}
 }
 
 func (d *leaseDiscovery) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
@@ -79,7 +79,7 @@
 			return
 		}
 	}
-	if d.tells {
+	if d.sendsChanges {
 		d.watch(rw, r)
 		return
 	}
@@ -87,16 +87,16 @@
 }
 
 // crowd has calls of others wait in the queue.
-func (d *leaseDiscovery) crowd(t *testing.T, many int) {
+func (d *leaseDiscovery) queueOtherCalls(t *testing.T, count int) {
 	before := d.queue.CallCount()
-	for range many {
+	for range count {
 		go d.queue.Take(context.Background(), "others")
 	}
-	require.Eventually(t, func() bool { return d.queue.CallCount() >= before+many }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return d.queue.CallCount() >= before+count }, time.Second, time.Millisecond)
 }
 
 // hold keeps all calls without an answer until the gate that it returns is closed.
-func (d *leaseDiscovery) hold() chan struct{} {
+func (d *leaseDiscovery) blockCalls() chan struct{} {
 	d.gateMu.Lock()
 	defer d.gateMu.Unlock()
 	d.gate = make(chan struct{})
@@ -112,10 +112,10 @@
 	go d.server.Serve(ln)
 }
 
-func (d *leaseDiscovery) goAway() { d.server.Close() }
+func (d *leaseDiscovery) shutDown() { d.server.Close() }
 
 // since gives the times of the calls after an event, in seconds.
-func (d *leaseDiscovery) since(event time.Time) (times []string) {
+func (d *leaseDiscovery) callTimesSince(event time.Time) (times []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, at := range d.calls {
@@ -125,7 +125,7 @@
 }
 
 // called tells whether a call has got beyond the queue.
-func (d *leaseDiscovery) called() bool {
+func (d *leaseDiscovery) hasTakenCall() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.calls)+len(d.watches) > 0
@@ -133,61 +133,61 @@
 
 // leaseAnswer is what became of one request.
 type leaseAnswer struct {
-	sent   time.Time
-	took   time.Duration
-	status int
-	err    error
+	sent     time.Time
+	duration time.Duration
+	status   int
+	err      error
 }
 
 // leaseTrial is a set of sidecars, each with a discovery and a load of its own, before an endpoint that will drain and one that stays.
 type leaseTrial struct {
-	*world
-	endpoints [2]string
-	sidecars  []*leaseSidecar
-	timeout   time.Duration // that requests name
-	mu        sync.Mutex
-	lastDrain map[string]time.Time // request to the endpoint that drains, by sidecar's id
-	heldUp    time.Duration        // longest time for which the test's own process had no core
-	broken    []string             // what was expected and not so
+	*testEnv
+	endpoints        [2]string
+	sidecars         []*leaseSidecar
+	timeout          time.Duration // that requests name
+	mu               sync.Mutex
+	lastDrainRequest map[string]time.Time // request to the endpoint that drains, by sidecar's id
+	longestStall     time.Duration        // longest time for which the test's own process had no core
+	failures         []string             // what was expected and not so
 }
 
 // playLease plays a trial and reports what was broken. Where the test's own process was held up meanwhile, so that neither the times that
 // it gave discovery's answers nor those that it booked are right, the trial is played anew; the last play counts as it is.
-func playLease(t *testing.T, play func(trial *leaseTrial)) {
+func runLeaseTrial(t *testing.T, scenario func(trial *leaseTrial)) {
 	for n := 1; ; n++ {
 		var trial *leaseTrial
 		t.Run(fmt.Sprint("play ", n), func(t *testing.T) {
 			trial = newLeaseTrial(t)
-			play(trial)
+			scenario(trial)
 		})
-		if t.Failed() || trial.heldUp <= heldUpMost || n == playsMost {
-			assert.Empty(t, trial.broken, "play %d, held up for %v at most", n, trial.heldUp)
+		if t.Failed() || trial.longestStall <= maxTestStall || n == maxRuns {
+			assert.Empty(t, trial.failures, "play %d, held up for %v at most", n, trial.longestStall)
 			return
 		}
-		t.Logf("play %d was held up for %v: %v", n, trial.heldUp, trial.broken)
+		t.Logf("play %d was held up for %v: %v", n, trial.longestStall, trial.failures)
 	}
 }
 
 func (l *leaseTrial) expect(kept bool, format string, args ...any) {
 	if !kept {
-		l.broken = append(l.broken, "\n"+fmt.Sprintf(format, args...))
+		l.failures = append(l.failures, "\n"+fmt.Sprintf(format, args...))
 	}
 }
 
 // leaseSidecar is one sidecar of a trial, in one process or two.
 type leaseSidecar struct {
-	trial       *leaseTrial
-	id          string
-	name        string
-	listen      string
-	config      string
-	fleet       int
-	script      []string  // faulty answers that it meets
-	endpoints   [2]string // that drains, that stays
-	discoveries [2]*leaseDiscovery
-	processes   []*leaseProcess
-	tells       bool
-	door        *lateDoor // of the endpoint that drains; nil for none
+	trial              *leaseTrial
+	id                 string
+	name               string
+	listen             string
+	config             string
+	fleet              int
+	faults             []string  // faulty answers that it meets
+	endpoints          [2]string // that drains, that stays
+	discoveries        [2]*leaseDiscovery
+	processes          []*leaseProcess
+	watchesSendChanges bool
+	slowListener       *slowListener // of the endpoint that drains; nil for none
 
 	disturbances []disturbance
 
@@ -202,19 +202,19 @@
 }
 
 // drains answers requests to the endpoint that drains.
-func (l *leaseTrial) drains(rw http.ResponseWriter, r *http.Request) {
+func (l *leaseTrial) serveDrainingEndpoint(rw http.ResponseWriter, r *http.Request) {
 	id, _, _ := strings.Cut(r.Header.Get("Request-Id"), "-")
 	l.mu.Lock()
-	l.lastDrain[id] = time.Now()
+	l.lastDrainRequest[id] = time.Now()
 	l.mu.Unlock()
 	io.WriteString(rw, "hello")
 }
 
 func newLeaseTrial(t *testing.T) *leaseTrial {
-	l := &leaseTrial{world: &world{T: t}, timeout: leaseTimeout, lastDrain: map[string]time.Time{}}
-	l.endpoints[0] = l.serve(l.drains)
+	l := &leaseTrial{testEnv: &testEnv{T: t}, timeout: leaseTimeout, lastDrainRequest: map[string]time.Time{}}
+	l.endpoints[0] = l.serve(l.serveDrainingEndpoint)
 	l.endpoints[1] = l.serve(func(rw http.ResponseWriter, _ *http.Request) {
-		time.Sleep(slowerWork)
+		time.Sleep(stayingEndpointWork)
 		io.WriteString(rw, "hello")
 	})
 	return l
@@ -232,7 +232,7 @@
 }
 
 // sidecar starts one, with a queue of its own before its discovery or with none.
-func (l *leaseTrial) sidecar(name string, fleet int, queue *callqueue.Queue, options ...func(*leaseSidecar)) *leaseSidecar {
+func (l *leaseTrial) startSidecar(name string, fleet int, queue *callqueue.Queue, options ...func(*leaseSidecar)) *leaseSidecar {
 	s := &leaseSidecar{trial: l, endpoints: l.endpoints, id: fmt.Sprint("n", len(l.sidecars)), name: name, fleet: fleet, listen: ownAddress(l.T),
 		config: filepath.Join(l.TempDir(), "start.json")}
 	for _, option := range options {
@@ -241,13 +241,13 @@
 	host, _, _ := net.SplitHostPort(ownAddress(l.T))
 	for n := range s.discoveries {
 		d := newLeaseDiscovery(s.list(1, true))
-		d.addr, d.queue, d.tells = net.JoinHostPort(host, "0"), queue, s.tells
+		d.addr, d.queue, d.sendsChanges = net.JoinHostPort(host, "0"), queue, s.watchesSendChanges
 		d.listen(l.T)
 		l.Cleanup(func() { d.server.Close() })
 		s.discoveries[n] = d
 	}
 	s.configure(0)
-	s.processes = append(s.processes, s.start())
+	s.processes = append(s.processes, s.startProcess())
 	l.sidecars = append(l.sidecars, s)
 	return s
 }
@@ -259,26 +259,26 @@
 		s.load()
 	}
 	over := make(chan struct{})
-	var pulse sync.WaitGroup
-	pulse.Go(func() { l.pulse(over) })
+	var monitor sync.WaitGroup
+	monitor.Go(func() { l.monitorStalls(over) })
 	l.Cleanup(func() {
 		close(over)
-		pulse.Wait()
+		monitor.Wait()
 	})
 	time.Sleep(settleTime)
 }
 
 // pulse notes how late the test's own process is woken.
-func (l *leaseTrial) pulse(over <-chan struct{}) {
-	const beat = 5 * time.Millisecond
+func (l *leaseTrial) monitorStalls(over <-chan struct{}) {
+	const interval = 5 * time.Millisecond
 	for last := time.Now(); ; {
 		select {
 		case <-over:
 			return
-		case <-time.After(beat):
+		case <-time.After(interval):
 		}
 		now := time.Now()
-		l.heldUp = max(l.heldUp, now.Sub(last)-beat)
+		l.longestStall = max(l.longestStall, now.Sub(last)-interval)
 		last = now
 	}
 }
@@ -290,7 +290,7 @@
 }
 
 // start runs a process; a second one takes over from the first.
-func (s *leaseSidecar) start() *leaseProcess {
+func (s *leaseSidecar) startProcess() *leaseProcess {
 	p := &leaseProcess{Cmd: exec.Command(os.Args[0]), console: ownAddress(s.trial.T)}
 	p.Env = append(os.Environ(), "LYNXJUNCTION_TEST_SERVE=1", "RELAY_CONFIG="+s.config, "RELAY_CONSOLE="+p.console,
 		"TMPDIR="+filepath.Dir(s.config))
@@ -312,10 +312,10 @@
 }
 
 // handOver starts a second process beside the first.
-func (s *leaseSidecar) handOver() { s.processes = append(s.processes, s.start()) }
+func (s *leaseSidecar) startSuccessor() { s.processes = append(s.processes, s.startProcess()) }
 
 // endFirst tells the first process to end.
-func (s *leaseSidecar) endFirst() {
+func (s *leaseSidecar) terminateFirst() {
 	require.NoError(s.trial, s.processes[0].Process.Signal(syscall.SIGTERM))
 }
 
@@ -337,7 +337,7 @@
 // awaitWatch waits until discovery has taken its first call in hand; its start file alone tells it version 1 too.
 func (s *leaseSidecar) awaitWatch() {
 	s.awaitVersion(1)
-	require.Eventually(s.trial, s.discoveries[0].called, 20*time.Second, 10*time.Millisecond,
+	require.Eventually(s.trial, s.discoveries[0].hasTakenCall, 20*time.Second, 10*time.Millisecond,
 		"%s opens its watch", s.name)
 }
 
@@ -348,14 +348,14 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	client := &http.Client{Transport: transport, Timeout: longTimeout + 2*answerGrace}
 	all.Go(func() {
-		beat := time.NewTicker(leasePace)
-		defer beat.Stop()
+		ticker := time.NewTicker(leaseRequestInterval)
+		defer ticker.Stop()
 		for n := 0; ; n++ {
-			all.Go(func() { s.ask(client, fmt.Sprintf("%s-%d", s.id, n)) })
+			all.Go(func() { s.request(client, fmt.Sprintf("%s-%d", s.id, n)) })
 			select {
 			case <-over:
 				return
-			case <-beat.C:
+			case <-ticker.C:
 			}
 		}
 	})
@@ -366,7 +366,7 @@
 	})
 }
 
-func (s *leaseSidecar) ask(client *http.Client, id string) {
+func (s *leaseSidecar) request(client *http.Client, id string) {
 	request, _ := http.NewRequest("GET", "http://"+s.listen+"/look/x", nil)
 	request.Header = http.Header{"Request-Id": {id}, "Request-Class": {"look"},
 		"Request-Timeout": {fmt.Sprintf("%dm", s.trial.timeout.Milliseconds())}}
@@ -377,14 +377,14 @@
 		got.Body.Close()
 		a.status = got.StatusCode
 	}
-	a.took, a.err = time.Since(a.sent), err
+	a.duration, a.err = time.Since(a.sent), err
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answers = append(s.answers, a)
 }
 
 // between are the answers to what was sent in a span.
-func (s *leaseSidecar) between(from, to time.Time) (some []leaseAnswer) {
+func (s *leaseSidecar) answersBetween(from, to time.Time) (some []leaseAnswer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range s.answers {
@@ -398,7 +398,7 @@
 // expectAnswered checks that each request of a span was served or refused in its time.
 func (s *leaseSidecar) expectAnswered(from, to time.Time) {
 	s.expect(from, to, "served or refused in time", func(a leaseAnswer) bool {
-		return (a.status == http.StatusOK || a.status == http.StatusServiceUnavailable) && a.took <= s.trial.timeout+answerGrace
+		return (a.status == http.StatusOK || a.status == http.StatusServiceUnavailable) && a.duration <= s.trial.timeout+answerGrace
 	})
 }
 
@@ -408,74 +408,74 @@
 }
 
 func (s *leaseSidecar) expect(from, to time.Time, what string, kept func(leaseAnswer) bool) {
-	some := s.between(from, to)
-	s.trial.expect(len(some) >= int(to.Sub(from)/leasePace)*3/4, "%s: %d requests ended", s.name, len(some))
+	some := s.answersBetween(from, to)
+	s.trial.expect(len(some) >= int(to.Sub(from)/leaseRequestInterval)*3/4, "%s: %d requests ended", s.name, len(some))
 	for _, a := range some {
 		s.trial.expect(a.err == nil && kept(a), "%s: not %s: sent %v after the event, status %d after %v, %v",
-			s.name, what, a.sent.Sub(from), a.status, a.took, a.err)
+			s.name, what, a.sent.Sub(from), a.status, a.duration, a.err)
 	}
 }
 
 // expectDrainKept checks when the last request came to the endpoint that drains.
 func (s *leaseSidecar) expectDrainKept(event time.Time, notified time.Duration, d *leaseDiscovery) {
 	s.trial.mu.Lock()
-	last, sent := s.trial.lastDrain[s.id]
+	last, sent := s.trial.lastDrainRequest[s.id]
 	s.trial.mu.Unlock()
 	s.trial.expect(sent, "%s: never sent to the endpoint while it was in service", s.name)
 	bound := notified + drainGrace + socketSlack
 	s.trial.expect(last.Sub(event) <= bound, "%s: last request to the draining endpoint %v after the event, %v allowed; calls that discovery took in hand at %v",
-		s.name, last.Sub(event), bound, d.since(event))
+		s.name, last.Sub(event), bound, d.callTimesSince(event))
 }
 
 // A call behind a watch that ended is answered after the drain counts as notified, in one process and in the middle of a hand-over; then
 // with requests under way to the endpoint that drains.
-func TestNoRequestToADrainWhileACallWaitsBehindAnEndedWatch(t *testing.T) {
-	t.Run("undisturbed", func(t *testing.T) { playLease(t, waitBehindAnEndedWatch) })
-	t.Run("disturbed", func(t *testing.T) { playLease(t, waitBehindAnEndedWatchDisturbed) })
-	t.Run("silent watch", func(t *testing.T) { playLease(t, waitBehindASilentWatch) })
+func TestNoRequestToDrainingEndpointWhileListCallIsDelayed(t *testing.T) {
+	t.Run("undisturbed", func(t *testing.T) { runLeaseTrial(t, delayedCallAfterEndedWatch) })
+	t.Run("disturbed", func(t *testing.T) { runLeaseTrial(t, delayedCallWithRequestsInFlight) })
+	t.Run("silent watch", func(t *testing.T) { runLeaseTrial(t, delayedCallAfterSilentWatch) })
 }
 
-func newLeaseQueue() *callqueue.Queue { return callqueue.New(queuedWork, 0, callqueue.Wait) }
+func newLeaseQueue() *callqueue.Queue { return callqueue.New(queuedCallWork, 0, callqueue.Wait) }
 
-func waitBehindAnEndedWatch(trial *leaseTrial) {
-	var queued, held, handed, termed []*leaseSidecar
+func delayedCallAfterEndedWatch(trial *leaseTrial) {
+	var queued, held, handed, termedEarly []*leaseSidecar
 	for _, fleet := range []int{1, 40} {
 		start := func(what string, crowded bool) *leaseSidecar {
 			var queue *callqueue.Queue
 			if crowded {
 				queue = newLeaseQueue()
 			}
-			return trial.sidecar(fmt.Sprintf("%s, fleet of %d", what, fleet), fleet, queue)
+			return trial.startSidecar(fmt.Sprintf("%s, fleet of %d", what, fleet), fleet, queue)
 		}
 		queued = append(queued, start("a queue", true))
 		held = append(held, start("answers together", false))
 		handed = append(handed, start("a queue and a hand-over", true))
-		termed = append(termed, start("a queue and a hand-over before any list", true))
+		termedEarly = append(termedEarly, start("a queue and a hand-over before any list", true))
 	}
 	trial.begin()
 	gates := []chan struct{}{}
 	for _, s := range held {
-		gates = append(gates, s.discoveries[0].hold())
+		gates = append(gates, s.discoveries[0].blockCalls())
 	}
-	ended := trial.endWatchesBeforeADrain()
-	time.AfterFunc(queuedFor, func() {
+	ended := trial.endWatchesWithDrain()
+	time.AfterFunc(queuedCallWait, func() {
 		for _, gate := range gates {
 			close(gate)
 		}
 	})
 	time.Sleep(time.Until(ended.Add(500 * time.Millisecond)))
-	for _, s := range slices.Concat(handed, termed) {
-		s.handOver()
+	for _, s := range slices.Concat(handed, termedEarly) {
+		s.startSuccessor()
 	}
 	time.Sleep(time.Until(ended.Add(1500 * time.Millisecond)))
-	for _, s := range termed {
-		s.endFirst()
+	for _, s := range termedEarly {
+		s.terminateFirst()
 	}
 	for _, s := range handed {
 		s.awaitSecondReady()
-		s.endFirst()
+		s.terminateFirst()
 	}
-	heard := ended.Add(queuedFor + 2*settleTime)
+	heard := ended.Add(queuedCallWait + 2*settleTime)
 	if settled := time.Now().Add(2 * settleTime); settled.After(heard) {
 		heard = settled // the hand-overs took longer
 	}
@@ -490,10 +490,10 @@
 }
 
 // endWatchesBeforeADrain ends all watches in place of telling the drain, with the calls of others in the queue. It returns when.
-func (l *leaseTrial) endWatchesBeforeADrain() (ended time.Time) {
+func (l *leaseTrial) endWatchesWithDrain() (ended time.Time) {
 	for _, s := range l.sidecars {
 		if s.discoveries[0].queue != nil {
-			s.discoveries[0].crowd(l.T, queuedBefore)
+			s.discoveries[0].queueOtherCalls(l.T, queuedCalls)
 		}
 	}
 	ended = time.Now()
@@ -504,39 +504,39 @@
 	return ended
 }
 
-func waitBehindAnEndedWatchDisturbed(trial *leaseTrial) {
+func delayedCallWithRequestsInFlight(trial *leaseTrial) {
 	const ms = time.Millisecond
 	trial.timeout = longTimeout
 	start := func(name string, options ...func(*leaseSidecar)) *leaseSidecar {
-		return trial.sidecar(name, 6, newLeaseQueue(), options...)
+		return trial.startSidecar(name, 6, newLeaseQueue(), options...)
 	}
 	bound := notifiedAfterEnd + drainGrace
-	start("dials slowly", behindALateDoor(bound-750*ms, bound+100*ms), besideOneThat(hangs))
-	start("stands still for 0.15 s", standingStill(bound-50*ms, bound+100*ms))
-	start("stands still over the bound", standingStill(bound-300*ms, bound+300*ms))
-	startBesideTroubled(start)
+	start("dials slowly", withSlowListener(bound-750*ms, bound+100*ms), withStayingEndpoint(neverRespond))
+	start("stands still for 0.15 s", withProcessStopped(bound-50*ms, bound+100*ms))
+	start("stands still over the bound", withProcessStopped(bound-300*ms, bound+300*ms))
+	startWithFaultyStayingEndpoint(start)
 	trial.begin()
 	trial.awaitEvent()
-	ended := trial.endWatchesBeforeADrain()
-	time.Sleep(time.Until(ended.Add(bound + overdue)))
+	ended := trial.endWatchesWithDrain()
+	time.Sleep(time.Until(ended.Add(bound + lateRequestWindow)))
 	for _, s := range trial.sidecars {
 		s.expectDrainKept(ended, notifiedAfterEnd, s.discoveries[0])
 	}
 }
 
 // waitBehindASilentWatch has watches fall silent in place of telling the drain, and calls answered after it counts as notified.
-func waitBehindASilentWatch(trial *leaseTrial) {
+func delayedCallAfterSilentWatch(trial *leaseTrial) {
 	const answered = notifiedAfterReturn + 1500*time.Millisecond
 	for _, fleet := range []int{1, 40} {
-		trial.sidecar(fmt.Sprintf("fleet of %d", fleet), fleet, nil, telling)
+		trial.startSidecar(fmt.Sprintf("fleet of %d", fleet), fleet, nil, withWatchChanges)
 	}
 	trial.begin()
 	gates := []chan struct{}{}
 	fell := time.Now()
 	for _, s := range trial.sidecars {
-		gates = append(gates, s.discoveries[0].hold())
+		gates = append(gates, s.discoveries[0].blockCalls())
 		s.discoveries[0].set(s.list(2, false))
-		s.discoveries[0].fallSilent()
+		s.discoveries[0].silenceWatches()
 	}
 	time.Sleep(time.Until(fell.Add(answered)))
 	for _, gate := range gates {
@@ -559,15 +559,15 @@
 }
 
 // inARow are so many faulty answers of one kind, for each kind given.
-func inARow(many int, faults ...string) (scripts [][]string) {
+func repeatedFaults(count int, faults ...string) (scripts [][]string) {
 	for _, fault := range faults {
-		scripts = append(scripts, slices.Repeat([]string{fault}, many))
+		scripts = append(scripts, slices.Repeat([]string{fault}, count))
 	}
 	return scripts
 }
 
 // playFaultyAnswers has one sidecar for each row of faulty answers meet them after an outage, and others after a new configuration.
-func playFaultyAnswers(t *testing.T, afterOutage, afterReload [][]string) {
+func runFaultyAnswers(t *testing.T, afterOutage, afterReload [][]string) {
 	for _, event := range []struct {
 		name     string
 		notified time.Duration
@@ -582,14 +582,14 @@
 		}
 		t.Run(event.name, func(t *testing.T) {
 			const fleet = 6
-			playLease(t, func(trial *leaseTrial) {
+			runLeaseTrial(t, func(trial *leaseTrial) {
 				for _, script := range event.scripts {
-					s := trial.sidecar(strings.Join(script, " then "), fleet, nil)
-					s.script = script
+					s := trial.startSidecar(strings.Join(script, " then "), fleet, nil)
+					s.faults = script
 				}
 				trial.begin()
 				happened, discovery := event.play(trial)
-				over := happened.Add(event.notified + drainGrace + overdue)
+				over := happened.Add(event.notified + drainGrace + lateRequestWindow)
 				time.Sleep(time.Until(over.Add(leaseTimeout + answerGrace)))
 				for _, s := range trial.sidecars {
 					s.expectDrainKept(happened, event.notified, s.discoveries[discovery])
@@ -607,14 +607,14 @@
 	}
 	time.Sleep(outageTime)
 	for _, s := range trial.sidecars {
-		s.discoveries[0].set(s.list(2, false), s.script...)
+		s.discoveries[0].set(s.list(2, false), s.faults...)
 	}
 	return time.Now(), 0
 }
 
 func faultyAfterReload(trial *leaseTrial) (event time.Time, discovery int) {
 	for _, s := range trial.sidecars {
-		s.discoveries[1].set(s.list(2, false), s.script...)
+		s.discoveries[1].set(s.list(2, false), s.faults...)
 		s.configure(1)
 	}
 	event = time.Now()
@@ -625,41 +625,41 @@
 }
 
 // Six and eight answers in a row that end while time is left.
-func TestDrainsAreKeptBehindManyFaultyAnswersThatEnd(t *testing.T) {
+func TestDrainsAreHonoredAfterSeriesOfShortFaultyAnswers(t *testing.T) {
 	ends := []string{"busy", "reset", "half a head", "half a list", "half a list, reset"}
-	playFaultyAnswers(t, append(inARow(6, ends...), inARow(8, "half a head", "half a list")...),
-		append(append(inARow(6, ends...), inARow(8, "busy", "reset", "half a list, reset")...), allFaults()[:6]))
+	runFaultyAnswers(t, append(repeatedFaults(6, ends...), repeatedFaults(8, "half a head", "half a list")...),
+		append(append(repeatedFaults(6, ends...), repeatedFaults(8, "busy", "reset", "half a list, reset")...), allFaults()[:6]))
 }
 
 // Six and eight answers in a row that take longer together than is left, and faults of all kinds, in a fixed order and back.
-func TestNoRequestToADrainBehindManyAnswersThatTakeLong(t *testing.T) {
+func TestNoRequestToDrainingEndpointAfterSeriesOfSlowFaultyAnswers(t *testing.T) {
 	mixed, back := allFaults(), allFaults()
 	slices.Reverse(back)
-	long := append(inARow(6, "silent", "head only", "a list in drips"), mixed, back[:6], back)
-	long = append(long, inARow(8, "silent", "head only", "a list in drips")...)
-	playFaultyAnswers(t, append(append(inARow(8, "half a list, reset"), mixed[:6]), long...),
-		append(inARow(8, "half a head", "half a list"), long...))
+	long := append(repeatedFaults(6, "silent", "head only", "a list in drips"), mixed, back[:6], back)
+	long = append(long, repeatedFaults(8, "silent", "head only", "a list in drips")...)
+	runFaultyAnswers(t, append(append(repeatedFaults(8, "half a list, reset"), mixed[:6]), long...),
+		append(repeatedFaults(8, "half a head", "half a list"), long...))
 }
 
 // Eight answers in a row that look like a discovery that is down.
 func TestNoRequestToADrainBehindEightAnswersThatEndAtOnce(t *testing.T) {
-	playFaultyAnswers(t, inARow(8, "busy", "reset"), nil)
+	runFaultyAnswers(t, repeatedFaults(8, "busy", "reset"), nil)
 }
 
 // A discovery that plainly is down can tell nothing: the last list serves until it is back.
-func TestServiceGoesOnByTheLastListWhileDiscoveryIsDown(t *testing.T) {
+func TestServiceContinuesWithLastListWhileDiscoveryIsDown(t *testing.T) {
 	const down = 12 * time.Second
-	playLease(t, func(trial *leaseTrial) {
+	runLeaseTrial(t, func(trial *leaseTrial) {
 		trial.timeout = longTimeout
 		var refusing, busy []*leaseSidecar
 		for _, fleet := range []int{1, 40} {
-			refusing = append(refusing, trial.sidecar(fmt.Sprintf("connections refused, fleet of %d", fleet), fleet, nil))
-			busy = append(busy, trial.sidecar(fmt.Sprintf("503 at once, fleet of %d", fleet), fleet, nil))
+			refusing = append(refusing, trial.startSidecar(fmt.Sprintf("connections refused, fleet of %d", fleet), fleet, nil))
+			busy = append(busy, trial.startSidecar(fmt.Sprintf("503 at once, fleet of %d", fleet), fleet, nil))
 		}
 		trial.begin()
 		ended := time.Now()
 		for _, s := range refusing {
-			s.discoveries[0].goAway()
+			s.discoveries[0].shutDown()
 		}
 		for _, s := range busy {
 			s.discoveries[0].set(s.list(1, true), slices.Repeat([]string{"busy"}, 1000)...)
@@ -684,19 +684,19 @@
 }
 
 // A discovery that takes calls and never answers stops service for a bounded time at most, and no request by it.
-func TestServiceComesBackWhileDiscoveryIsSilent(t *testing.T) {
+func TestServiceResumesWhileDiscoveryIsSilent(t *testing.T) {
 	const silent, stoppedMost = 15 * time.Second, 12 * time.Second
-	playLease(t, func(trial *leaseTrial) {
+	runLeaseTrial(t, func(trial *leaseTrial) {
 		for _, fleet := range []int{1, 40} {
 			for _, fault := range []string{"silent", "head only"} {
-				s := trial.sidecar(fmt.Sprintf("%s, fleet of %d", fault, fleet), fleet, nil)
-				s.script = slices.Repeat([]string{fault}, 1000)
+				s := trial.startSidecar(fmt.Sprintf("%s, fleet of %d", fault, fleet), fleet, nil)
+				s.faults = slices.Repeat([]string{fault}, 1000)
 			}
 		}
 		trial.begin()
 		ended := time.Now()
 		for _, s := range trial.sidecars {
-			s.discoveries[0].set(s.list(1, true), s.script...)
+			s.discoveries[0].set(s.list(1, true), s.faults...)
 			s.discoveries[0].endWatches()
 		}
 		over := ended.Add(silent)
--- a/cmd/lynxjunction/fleet_test.go
+++ b/cmd/lynxjunction/fleet_test.go
@@ -19,10 +19,10 @@
 )
 
 // told is how long after discovery had it and could be reached a change counts as told, whatever failed before.
-const told = 6 * time.Second
+const notificationBound = 6 * time.Second
 
 // beside starts the test's own program as a sidecar, in a shell that may set limits first.
-func beside(t *testing.T, limits, config string) {
+func startSidecar(t *testing.T, limits, config string) {
 	p := exec.Command("/bin/sh", "-c", limits+` exec "$0"`, os.Args[0])
 	p.Env = append(os.Environ(), "LYNXJUNCTION_TEST_SERVE=1", "RELAY_CONFIG="+config)
 	require.NoError(t, p.Start())
@@ -61,7 +61,7 @@
 	return path
 }
 
-func listOf(version int, addrs ...string) string {
+func endpointList(version int, addrs ...string) string {
 	entries := []string{}
 	for n, a := range addrs {
 		entries = append(entries, fmt.Sprintf(`{"id":"s%d","addr":%q,"zone":"a","cell":1,"state":"in_service","weight":1,"started_ms":0}`, n, a))
@@ -71,9 +71,9 @@
 
 // Idle clients, some with half a head, take every descriptor that there is while discovery is down. When it is back the list
 // is there in time, what was in hand is answered, and what comes then finds its way out too.
-func TestIdleClientsHoldAllDescriptors(t *testing.T) {
+func TestIdleClientsExhaustDescriptors(t *testing.T) {
 	gate := make(chan bool)
-	w := &world{T: t}
+	w := &testEnv{T: t}
 	at := w.serve(func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/look/held" {
 			<-gate
@@ -81,7 +81,7 @@
 		io.WriteString(rw, "hello")
 	})
 	listen, discovery := freePort(t), freePort(t)
-	beside(t, "ulimit -n 128;", startFile(t, t.TempDir(), listen, discovery, listOf(1, at), 512, 300))
+	startSidecar(t, "ulimit -n 128;", startFile(t, t.TempDir(), listen, discovery, endpointList(1, at), 512, 300))
 	require.Eventually(t, func() bool { s, _ := get(listen, "/up"); return s == 200 }, 10*time.Second, 10*time.Millisecond)
 	request := func(id, path string) (net.Conn, string) {
 		c, err := net.Dial("tcp", listen)
@@ -130,7 +130,7 @@
 	require.NoError(t, err)
 	back := time.Now()
 	srv := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		io.WriteString(rw, listOf(7, at)+"\n")
+		io.WriteString(rw, endpointList(7, at)+"\n")
 		rw.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})}
@@ -139,7 +139,7 @@
 	for heard := false; !heard; {
 		_, page := get(listen, "/counters")
 		heard = strings.Contains(page, "\nlist_version 7\n")
-		require.Less(t, time.Since(back), told, "the list is there")
+		require.Less(t, time.Since(back), notificationBound, "the list is there")
 	}
 	close(gate)
 	held.SetDeadline(time.Now().Add(20 * time.Second))
@@ -158,22 +158,22 @@
 
 // Many processes of a large fleet are restarted together, with no list, while discovery is down; when it is back it takes calls
 // in turn, and refuses those that waited. Nine in ten are ready within 10 s of their start.
-func TestManyRestartedWhileDiscoveryIsBusy(t *testing.T) {
-	const processes, down, patience, each = 30, 5 * time.Second, time.Second, 50 * time.Millisecond
-	w := &world{T: t}
+func TestFleetRestartWhileDiscoveryIsBusy(t *testing.T) {
+	const processes, down, maxQueueWait, callWork = 30, 5 * time.Second, time.Second, 50 * time.Millisecond
+	w := &testEnv{T: t}
 	at := w.serve(func(rw http.ResponseWriter, r *http.Request) { io.WriteString(rw, "hello") })
-	began, turn := time.Now(), sync.Mutex{}
+	began, callMu := time.Now(), sync.Mutex{}
 	discovery := w.serve(func(rw http.ResponseWriter, r *http.Request) {
 		came := time.Now()
-		turn.Lock()
-		if time.Since(began) < down || time.Since(came) > patience {
-			turn.Unlock()
+		callMu.Lock()
+		if time.Since(began) < down || time.Since(came) > maxQueueWait {
+			callMu.Unlock()
 			rw.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		time.Sleep(each)
-		turn.Unlock()
-		io.WriteString(rw, listOf(7, at)+"\n")
+		time.Sleep(callWork)
+		callMu.Unlock()
+		io.WriteString(rw, endpointList(7, at)+"\n")
 		rw.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
@@ -181,7 +181,7 @@
 	for range processes {
 		listen := freePort(t)
 		started := time.Now()
-		beside(t, "", startFile(t, dir, listen, discovery, "null", 512, 350))
+		startSidecar(t, "", startFile(t, dir, listen, discovery, "null", 512, 350))
 		go func() {
 			for status := 0; status != 200 && time.Since(started) < 30*time.Second; time.Sleep(20 * time.Millisecond) {
 				status, _ = get(listen, "/up")
--- a/cmd/lynxjunction/main.go
+++ b/cmd/lynxjunction/main.go
@@ -30,28 +30,28 @@
 
 func root() *cobra.Command {
 	var path, level string
-	read := func() (*sidecar.Config, error) {
+	readStart := func() (*sidecar.Config, error) {
 		if path == "" {
 			return nil, errors.New("no configuration: set RELAY_CONFIG or --config")
 		}
 		return sidecar.Read(path)
 	}
-	all := &cobra.Command{
+	rootCmd := &cobra.Command{
 		Use: "lynxjunction", Short: "A client-side load balancer beside one calling process",
 		SilenceUsage: true, SilenceErrors: true,
 	}
-	all.PersistentFlags().StringVar(&path, "config", os.Getenv("RELAY_CONFIG"), "file that the sidecar starts from")
+	rootCmd.PersistentFlags().StringVar(&path, "config", os.Getenv("RELAY_CONFIG"), "file that the sidecar starts from")
 	serve := &cobra.Command{
 		Use: "serve", Short: "Serve until SIGTERM, then finish what is held", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			// From the first moment on: until it is caught, SIGHUP ends the process.
-			again := make(chan os.Signal, 1)
-			signal.Notify(again, syscall.SIGHUP)
-			start, err := read()
+			reload := make(chan os.Signal, 1)
+			signal.Notify(reload, syscall.SIGHUP)
+			start, err := readStart()
 			if err != nil {
 				return err
 			}
-			log, err := logger(level, os.Stderr)
+			log, err := newLogger(level, os.Stderr)
 			if err != nil {
 				return err
 			}
@@ -60,7 +60,7 @@
 			signal.Ignore(syscall.SIGPIPE)
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
-			return start.Serve(ctx, log, again, read)
+			return start.Serve(ctx, log, reload, readStart)
 		},
 	}
 	serve.Flags().StringVar(&level, "log", cmp.Or(os.Getenv("RELAY_LOG"), "info"),
@@ -68,7 +68,7 @@
 	check := &cobra.Command{
 		Use: "check", Short: "Check a configuration and say what it holds", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			start, err := read()
+			start, err := readStart()
 			if err != nil {
 				return err
 			}
@@ -80,20 +80,20 @@
 		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), revision()) },
 	}
-	all.AddCommand(serve, check, version)
-	return all
+	rootCmd.AddCommand(serve, check, version)
+	return rootCmd
 }
 
 // logger writes JSON lines to out without ever waiting for it: the loop logs too, and a log reader that stands still
 // must not stop the exchanges. The lines that do not fit are lost.
-func logger(level string, out io.Writer) (*zap.Logger, error) {
-	least, err := zap.ParseAtomicLevel(level)
+func newLogger(level string, out io.Writer) (*zap.Logger, error) {
+	minLevel, err := zap.ParseAtomicLevel(level)
 	if err != nil {
 		return nil, err
 	}
 	w := &logWriter{lines: make(chan []byte, 1000), flush: make(chan chan bool)}
 	go w.run(out)
-	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), w, least)), nil
+	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), w, minLevel)), nil
 }
 
 type logWriter struct {
@@ -125,16 +125,16 @@
 
 // Sync gives the last lines a moment to get out.
 func (w *logWriter) Sync() error {
-	last, done := time.After(200*time.Millisecond), make(chan bool)
+	timeout, done := time.After(200*time.Millisecond), make(chan bool)
 	select {
 	case w.flush <- done:
-	case <-last:
+	case <-timeout:
 		return os.ErrDeadlineExceeded
 	}
 	select {
 	case <-done:
 		return nil
-	case <-last:
+	case <-timeout:
 		return os.ErrDeadlineExceeded
 	}
 }
--- a/cmd/lynxjunction/main_test.go
+++ b/cmd/lynxjunction/main_test.go
@@ -50,9 +50,9 @@
 }
 
 // A log reader that stands still must not stop those who log.
-func TestLogNeverWaits(t *testing.T) {
+func TestLoggerNeverBlocks(t *testing.T) {
 	in, out := io.Pipe()
-	log, err := logger("info", out)
+	log, err := newLogger("info", out)
 	assert.NoError(t, err)
 	for range 5000 {
 		log.Info("line")
--- a/cmd/lynxjunction/upgrade_test.go
+++ b/cmd/lynxjunction/upgrade_test.go
@@ -32,10 +32,10 @@
 }
 
 // world is what stands round a sidecar: endpoints, discovery, a folder that outlasts processes.
-type world struct {
+type testEnv struct {
 	*testing.T
 	listen, config, dir string
-	answered            [2]atomic.Int64
+	requestCounts       [2]atomic.Int64
 }
 
 func freePort(t *testing.T) string {
@@ -45,13 +45,13 @@
 	return ln.Addr().String()
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{T: t, listen: freePort(t), dir: t.TempDir()}
+func newTestEnv(t *testing.T) *testEnv {
+	w := &testEnv{T: t, listen: freePort(t), dir: t.TempDir()}
 	entries := []string{}
-	for n := range w.answered {
+	for n := range w.requestCounts {
 		entries = append(entries, fmt.Sprintf(`{"id":"s%d","addr":%q,"zone":"a","cell":1,"state":"in_service","weight":1,"started_ms":0}`, n,
 			w.serve(func(rw http.ResponseWriter, r *http.Request) {
-				w.answered[n].Add(1)
+				w.requestCounts[n].Add(1)
 				if r.URL.Path == "/look/long" {
 					rw.Header().Set("Content-Length", fmt.Sprint(8<<20))
 					for range 8 {
@@ -85,7 +85,7 @@
 	return w
 }
 
-func (w *world) serve(h http.HandlerFunc) string {
+func (w *testEnv) serve(h http.HandlerFunc) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(w, err)
 	srv := &http.Server{Handler: h}
@@ -97,13 +97,13 @@
 // process is one sidecar.
 type process struct {
 	*exec.Cmd
-	w       *world
+	env     *testEnv
 	console string
 	ended   chan error
 }
 
-func (w *world) start() *process {
-	p := &process{Cmd: exec.Command(os.Args[0]), w: w, console: freePort(w.T), ended: make(chan error, 1)}
+func (w *testEnv) start() *process {
+	p := &process{Cmd: exec.Command(os.Args[0]), env: w, console: freePort(w.T), ended: make(chan error, 1)}
 	p.Env = append(os.Environ(), "LYNXJUNCTION_TEST_SERVE=1", "RELAY_CONFIG="+w.config, "RELAY_CONSOLE="+p.console, "TMPDIR="+w.dir)
 	p.Stderr = os.Stderr
 	require.NoError(w, p.Start())
@@ -119,7 +119,7 @@
 }
 
 // call asks the console and returns its status; 0 is no answer.
-func (p *process) call(method, path string) (int, string) {
+func (p *process) callConsole(method, path string) (int, string) {
 	c, err := net.DialTimeout("tcp", p.console, time.Second)
 	if err != nil {
 		return 0, ""
@@ -136,39 +136,39 @@
 }
 
 // insist calls by hand until it is answered otherwise than with "call again".
-func (p *process) insist(path string) (status int) {
-	assert.Eventually(p.w, func() bool {
+func (p *process) postUntilAccepted(path string) (status int) {
+	assert.Eventually(p.env, func() bool {
 		text := ""
-		status, text = p.call("POST", path)
+		status, text = p.callConsole("POST", path)
 		return status != 503 || !strings.Contains(text, "call again")
 	}, 20*time.Second, time.Millisecond)
 	return status
 }
 
-func (p *process) ready() {
-	require.Eventually(p.w, func() bool { status, _ := p.call("GET", "/healthcheck"); return status == 200 }, 6*time.Second, 5*time.Millisecond)
+func (p *process) awaitReady() {
+	require.Eventually(p.env, func() bool { status, _ := p.callConsole("GET", "/healthcheck"); return status == 200 }, 6*time.Second, 5*time.Millisecond)
 }
 
-func (p *process) end(within time.Duration) {
+func (p *process) terminate(within time.Duration) {
 	p.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-p.ended:
-		assert.NoError(p.w, err, "ends with 0")
+		assert.NoError(p.env, err, "ends with 0")
 	case <-time.After(within):
-		p.w.Error("does not end")
+		p.env.Error("does not end")
 	}
 }
 
 // load asks at a steady pace, whatever becomes of it, and returns what was not answered with 200.
-func (w *world) load(ctx context.Context) (asked int64, wrong []string) {
+func (w *testEnv) load(ctx context.Context) (requests int64, failures []string) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 20}, Timeout: 5 * time.Second}
-	beat := time.NewTicker(5 * time.Millisecond)
-	defer beat.Stop()
-	for ; ctx.Err() == nil; <-beat.C {
-		asked++
-		id := fmt.Sprint("r", asked)
+	ticker := time.NewTicker(5 * time.Millisecond)
+	defer ticker.Stop()
+	for ; ctx.Err() == nil; <-ticker.C {
+		requests++
+		id := fmt.Sprint("r", requests)
 		all.Go(func() {
 			q, _ := http.NewRequest("GET", "http://"+w.listen+"/look/x", nil)
 			q.Header = http.Header{"Request-Id": {id}, "Request-Class": {"look"}, "Request-Timeout": {"2400m"}}
@@ -182,20 +182,20 @@
 				err = fmt.Errorf("%d", got.StatusCode)
 			}
 			mu.Lock()
-			wrong = append(wrong, id+": "+err.Error())
+			failures = append(failures, id+": "+err.Error())
 			mu.Unlock()
 		})
 	}
 	all.Wait()
-	return asked, wrong
+	return requests, failures
 }
 
 // Two upgrades in a row under load: every request is answered, what staff said holds at each process, a long answer that
 // is half through comes whole, and only the old process ends.
 func TestUpgrades(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnv(t)
 	now := w.start()
-	now.ready()
+	now.awaitReady()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	type outcome struct {
@@ -219,40 +219,40 @@
 		}()
 		time.Sleep(200 * time.Millisecond)
 		next := w.start()
-		status := now.insist("/endpoints/s0/maint")
+		status := now.postUntilAccepted("/endpoints/s0/maint")
 		assert.Equal(t, 200, status, "at the old one, while the new one starts")
 		for _, p := range []*process{now, next} {
-			require.Eventually(t, func() bool { status, _ := p.call("GET", "/healthcheck"); return status > 0 }, 6*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { status, _ := p.callConsole("GET", "/healthcheck"); return status > 0 }, 6*time.Second, time.Millisecond)
 			p.Process.Signal(syscall.SIGHUP) // a new configuration in the middle of it
 		}
-		next.ready()
+		next.awaitReady()
 		if round > 0 {
-			status = next.insist("/endpoints/s0/ready")
+			status = next.postUntilAccepted("/endpoints/s0/ready")
 			assert.Equal(t, 200, status, "a single call ends it, at the new one")
 		}
-		now.end(6 * time.Second)
+		now.terminate(6 * time.Second)
 		assert.EqualValues(t, 8<<20, <-came, "half through when the old one was told to end")
 		now = next
-		before := w.answered[0].Load()
+		before := w.requestCounts[0].Load()
 		time.Sleep(300 * time.Millisecond)
-		assert.Equal(t, round > 0, w.answered[0].Load() > before, "out stays out, back is back")
+		assert.Equal(t, round > 0, w.requestCounts[0].Load() > before, "out stays out, back is back")
 	}
 	stop()
 	o := <-over
 	assert.Empty(t, o.wrong)
-	_, text := now.call("GET", "/stats")
+	_, text := now.callConsole("GET", "/stats")
 	assert.Contains(t, text, `"in_flight":0`)
-	status, _ := now.call("POST", "/endpoints/never/maint")
+	status, _ := now.callConsole("POST", "/endpoints/never/maint")
 	assert.Equal(t, 404, status)
-	now.end(6 * time.Second)
+	now.terminate(6 * time.Second)
 }
 
 // A new process that dies, or that never says yes, leaves the old one serving; an old one that is killed costs no more
 // than what it held; one that hangs does not keep the new one from serving.
-func TestUpgradesThatFail(t *testing.T) {
-	w := newWorld(t)
+func TestFailedUpgrades(t *testing.T) {
+	w := newTestEnv(t)
 	old := w.start()
-	old.ready()
+	old.awaitReady()
 	ask := func() int {
 		q, _ := http.NewRequest("GET", "http://"+w.listen+"/look/x", nil)
 		q.Header = http.Header{"Request-Id": {fmt.Sprint(time.Now().UnixNano())}, "Request-Class": {"look"}, "Request-Timeout": {"2400m"}}
@@ -264,7 +264,7 @@
 		return got.StatusCode
 	}
 	next := w.start()
-	next.ready()
+	next.awaitReady()
 	next.Process.Kill()
 	<-next.ended
 	next.ended <- nil
@@ -272,7 +272,7 @@
 		assert.Equal(t, 200, ask(), "after the new one died")
 	}
 	next = w.start()
-	next.ready()
+	next.awaitReady()
 	old.Process.Kill()
 	<-old.ended
 	old.ended <- nil
@@ -281,19 +281,19 @@
 	}
 	require.NoError(t, next.Process.Signal(syscall.SIGSTOP))
 	last := w.start()
-	last.ready()
+	last.awaitReady()
 	next.Process.Kill()
 	<-next.ended
 	next.ended <- nil
 	assert.Equal(t, 200, ask(), "after one that hung")
-	last.end(6 * time.Second)
+	last.terminate(6 * time.Second)
 }
 
 // SIGTERM may come before the new process has said yes: whoever connects waits in the queue that both have.
-func TestTermBeforeTheYes(t *testing.T) {
-	w := newWorld(t)
+func TestSIGTERMBeforeSuccessorIsReady(t *testing.T) {
+	w := newTestEnv(t)
 	old := w.start()
-	old.ready()
+	old.awaitReady()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	over := make(chan []string, 1)
@@ -303,11 +303,11 @@
 	}()
 	time.Sleep(100 * time.Millisecond)
 	next := w.start()
-	require.Eventually(t, func() bool { status, _ := next.call("GET", "/healthcheck"); return status > 0 }, 6*time.Second, time.Millisecond)
-	old.end(6 * time.Second)
-	next.ready()
+	require.Eventually(t, func() bool { status, _ := next.callConsole("GET", "/healthcheck"); return status > 0 }, 6*time.Second, time.Millisecond)
+	old.terminate(6 * time.Second)
+	next.awaitReady()
 	time.Sleep(100 * time.Millisecond)
 	stop()
 	assert.Empty(t, <-over)
-	next.end(6 * time.Second)
+	next.terminate(6 * time.Second)
 }
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const tree = `package tree
+const testSource = `package tree
 
 import "testing"
 
@@ -44,26 +44,26 @@
 				require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 			}
 			write("go.mod", "module tree\n\ngo 1.26\n")
-			write("tree_test.go", tree)
+			write("tree_test.go", testSource)
 			if c.file != "" {
 				write("KNOWN-RED.txt", c.file)
 			}
 			for what, wanted := range map[string]string{"skip": c.skip, "play": c.play} {
-				said, complaint, code := run(t, dir, "bash", script, what)
-				assert.Equal(t, wanted, said, what)
-				assert.Equal(t, c.refused, complaint, what)
+				stdout, stderr, code := runCommand(t, dir, "bash", script, what)
+				assert.Equal(t, wanted, stdout, what)
+				assert.Equal(t, c.refused, stderr, what)
 				assert.Equal(t, c.refused != "", code == 1, "%s: %d", what, code)
 			}
 			if c.skip == "^(TestRed)$\n" { // just these are passed over
-				said, _, code := run(t, dir, "go", "test", "-v", "-skip", "^(TestRed)$", "./...")
-				assert.Zero(t, code, said)
-				assert.Contains(t, said, "--- PASS: TestGreen")
+				stdout, _, code := runCommand(t, dir, "go", "test", "-v", "-skip", "^(TestRed)$", "./...")
+				assert.Zero(t, code, stdout)
+				assert.Contains(t, stdout, "--- PASS: TestGreen")
 			}
 		})
 	}
 }
 
-func run(t *testing.T, dir, name string, args ...string) (said, complaint string, code int) {
+func runCommand(t *testing.T, dir, name string, args ...string) (stdout, stderr string, code int) {
 	c := exec.Command(name, args...)
 	c.Dir = dir
 	text, err := c.Output()
--- a/internal/records/served_test.go
+++ b/internal/records/served_test.go
@@ -9,7 +9,7 @@
 
 // A sidecar owes a share of its requests in time, of those that came while all that it depends on was sound; what came otherwise, or was
 // asked of too few, says nothing.
-func TestServedWhileAllIsSound(t *testing.T) {
+func TestServedShareWhileDependenciesAreHealthy(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		asked  int
@@ -20,46 +20,46 @@
 		{"all in time", 100, 0, nil, false},
 		{"five of a hundred late", 100, 5, nil, false},
 		{"six of a hundred late", 100, 6, nil, true},
-		{"too few to say", soundLeast - 1, 20, nil, false},
-		{"no share is owed", 100, 50, func(b *Book) { b.SoundShare = 0 }, false},
-		{"endpoints were not sound", 100, 50, func(b *Book) { b.Sound = func(int, float64, float64) bool { return false } }, false},
-		{"the rehearsal had no core", 100, 50, func(b *Book) { b.Late(0, 1e9) }, false},
-		{"refused", 100, 6, func(b *Book) { refuse(b, 6) }, true},
+		{"too few to say", minRequestsForShare - 1, 20, nil, false},
+		{"no share is owed", 100, 50, func(b *Book) { b.MinServedShare = 0 }, false},
+		{"endpoints were not sound", 100, 50, func(b *Book) { b.Healthy = func(int, float64, float64) bool { return false } }, false},
+		{"the rehearsal had no core", 100, 50, func(b *Book) { b.RecordHarnessDelay(0, 1e9) }, false},
+		{"refused", 100, 6, func(b *Book) { refuseFirst(b, 6) }, true},
 	} {
-		b := book()
-		b.SoundShare, b.LookBack = 0.95, 0
+		b := newTestBook()
+		b.MinServedShare, b.BudgetWindowMs = 0.95, 0
 		for n := range c.asked {
 			ended := float64(n)*10 + 50
 			if n < c.missed {
 				ended += 100
 			}
-			exchange(b, fmt.Sprint("x", n), 0, float64(n)*10, 200, ended, "satisfied")
+			addAnsweredExchange(b, fmt.Sprint("x", n), 0, float64(n)*10, 200, ended, "satisfied")
 		}
 		if c.change != nil {
 			c.change(b)
 		}
 		broken := b.Check()
 		if assert.Equal(t, c.broken, len(broken) == 1, "%s: %v", c.name, broken) && c.broken {
-			assert.Equal(t, Served, broken[0].Rule)
-			assert.Contains(t, broken[0].Story, "s0 served 94 of 100 in time")
+			assert.Equal(t, RuleServedInTime, broken[0].Rule)
+			assert.Contains(t, broken[0].Details, "s0 served 94 of 100 in time")
 		}
 	}
 }
 
 // refuse has the first so many refused at once.
-func refuse(b *Book, many int) {
-	for _, x := range b.order[:many] {
-		x.Status, x.satisfiedAtAll, x.Ended = 503, false, x.At+1
+func refuseFirst(b *Book, count int) {
+	for _, x := range b.exchangesInOrder[:count] {
+		x.Status, x.succeeded, x.EndedAt = 503, false, x.DueAt+1
 	}
 }
 
 // Times in which the rehearsal was late by two measures count once.
-func TestLateTimesThatOverlap(t *testing.T) {
-	b := book()
+func TestOverlappingHarnessDelaysCountOnce(t *testing.T) {
+	b := newTestBook()
 	for _, s := range [][2]float64{{10, 30}, {40, 60}, {25, 45}, {50, 65}, {100, 120}} {
-		b.Late(s[0], s[1])
+		b.RecordHarnessDelay(s[0], s[1])
 	}
-	assert.Equal(t, 55.0, b.lateBetween(0, 90))
-	assert.Equal(t, 75.0, b.lateBetween(0, 200))
-	assert.Equal(t, 5.0, b.lateBetween(115, 200))
+	assert.Equal(t, 55.0, b.harnessDelayBetween(0, 90))
+	assert.Equal(t, 75.0, b.harnessDelayBetween(0, 200))
+	assert.Equal(t, 5.0, b.harnessDelayBetween(115, 200))
 }
--- a/internal/records/spread.go
+++ b/internal/records/spread.go
@@ -11,68 +11,68 @@
 
 // Spread is how evenly arrivals fell on endpoints that were in service all the while.
 type Spread struct {
-	Window                 float64 // ms
-	Windows                int
-	MostOverMean           float64 // mean over the windows
-	MostEver               float64 // in the worst window
-	Idle                   float64 // share of endpoints with no arrival, mean over the windows
-	Jain                   float64 // (sum)^2 / (n sum of squares), mean over the windows
-	RandomMost, RandomJain float64 // of the same arrivals thrown at random, mean of many throws
-	RandomIdle             float64
-	Least, Mean, Most      float64 // arrivals an endpoint over the whole time
+	WindowMs                               float64 // ms
+	WindowCount                            int
+	MaxOverMean                            float64 // mean over the windows
+	WorstMaxOverMean                       float64 // in the worst window
+	IdleShare                              float64 // share of endpoints with no arrival, mean over the windows
+	JainIndex                              float64 // (sum)^2 / (n sum of squares), mean over the windows
+	RandomMaxOverMean, RandomJainIndex     float64 // of the same arrivals thrown at random, mean of many throws
+	RandomIdleShare                        float64
+	MinArrivals, MeanArrivals, MaxArrivals float64 // arrivals an endpoint over the whole time
 }
 
-const throws = 20
+const randomTrials = 20
 
 // Spread looks at arrivals from one time to another, in windows. Endpoints are those in service all that time.
 func (b *Book) Spread(from, to, window float64, seed uint64) (s Spread) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	place, n := map[int]int{}, 0
-	for e, a := range b.Alive {
+	index, n := map[int]int{}, 0
+	for e, a := range b.InService {
 		if a.from <= from && a.to >= to {
-			place[e] = n
+			index[e] = n
 			n++
 		}
 	}
-	s = Spread{Window: window, Windows: int((to - from) / window)}
-	if n == 0 || s.Windows == 0 {
+	s = Spread{WindowMs: window, WindowCount: int((to - from) / window)}
+	if n == 0 || s.WindowCount == 0 {
 		return s
 	}
-	counts, totals := make([][]float64, s.Windows), make([]float64, n)
+	counts, totals := make([][]float64, s.WindowCount), make([]float64, n)
 	for w := range counts {
 		counts[w] = make([]float64, n)
 	}
 	for _, l := range b.legs {
-		w := int((l.At - from) / window)
-		if p, ok := place[l.Endpoint]; ok && l.At >= from && w < s.Windows {
+		w := int((l.ArrivedAt - from) / window)
+		if p, ok := index[l.Endpoint]; ok && l.ArrivedAt >= from && w < s.WindowCount {
 			counts[w][p]++
 			totals[p]++
 		}
 	}
-	dice, seen := rand.New(rand.NewPCG(seed, 3)), 0.0
+	rng, nonEmptyWindows := rand.New(rand.NewPCG(seed, 3)), 0.0
 	for _, c := range counts {
 		most, jain, idle, sum := evenness(c)
 		if sum == 0 {
 			continue
 		}
-		seen++
-		s.MostOverMean, s.MostEver, s.Jain, s.Idle = s.MostOverMean+most, max(s.MostEver, most), s.Jain+jain, s.Idle+idle
-		for range throws {
-			thrown := make([]float64, n)
+		nonEmptyWindows++
+		s.MaxOverMean, s.WorstMaxOverMean, s.JainIndex, s.IdleShare = s.MaxOverMean+most, max(s.WorstMaxOverMean, most), s.JainIndex+jain, s.IdleShare+idle
+		for range randomTrials {
+			sample := make([]float64, n)
 			for range int(sum) {
-				thrown[dice.IntN(n)]++
+				sample[rng.IntN(n)]++
 			}
-			most, jain, idle, _ := evenness(thrown)
-			s.RandomMost, s.RandomJain, s.RandomIdle = s.RandomMost+most/throws, s.RandomJain+jain/throws, s.RandomIdle+idle/throws
+			most, jain, idle, _ := evenness(sample)
+			s.RandomMaxOverMean, s.RandomJainIndex, s.RandomIdleShare = s.RandomMaxOverMean+most/randomTrials, s.RandomJainIndex+jain/randomTrials, s.RandomIdleShare+idle/randomTrials
 		}
 	}
-	for _, f := range []*float64{&s.MostOverMean, &s.Jain, &s.Idle, &s.RandomMost, &s.RandomJain, &s.RandomIdle} {
-		*f /= max(seen, 1)
+	for _, f := range []*float64{&s.MaxOverMean, &s.JainIndex, &s.IdleShare, &s.RandomMaxOverMean, &s.RandomJainIndex, &s.RandomIdleShare} {
+		*f /= max(nonEmptyWindows, 1)
 	}
-	s.Least, s.Most = slices.Min(totals), slices.Max(totals)
+	s.MinArrivals, s.MaxArrivals = slices.Min(totals), slices.Max(totals)
 	for _, c := range totals {
-		s.Mean += c / float64(n)
+		s.MeanArrivals += c / float64(n)
 	}
 	return s
 }
@@ -94,10 +94,10 @@
 
 // Service is how a product's exchanges, or all, fared within a time.
 type Service struct {
-	Asked, Satisfied, InTime, Dismissed, Failed, Excused, NotTaken int
-	P50, P99                                                       float64 // ms from when it was due, of the satisfied
-	Legs                                                           int
-	Fresh                                                          int // legs that opened a connection
+	Requests, Succeeded, InTime, Shed, Failed, Excused, NotSent int
+	P50Ms, P99Ms                                                float64 // ms from when it was due, of the satisfied
+	Legs                                                        int
+	NewConnections                                              int // legs that opened a connection
 }
 
 // Service counts exchanges due within a time; product -1 for all.
@@ -105,66 +105,66 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	waits := hdrhistogram.New(1, 600_000_000, 3) // microseconds
-	for _, x := range b.order {
-		if x.At < from || x.At >= to || product >= 0 && x.Product != product {
+	for _, x := range b.exchangesInOrder {
+		if x.DueAt < from || x.DueAt >= to || product >= 0 && x.Product != product {
 			continue
 		}
-		s.Asked++
+		s.Requests++
 		s.Legs += len(x.legs)
 		for _, l := range x.legs {
-			if l.Fresh {
-				s.Fresh++
+			if l.NewConnection {
+				s.NewConnections++
 			}
 		}
-		took := x.Ended - x.At
+		took := x.EndedAt - x.DueAt
 		switch {
-		case x.satisfiedAtAll && took <= b.Products[x.Product].Abandon+b.Grace:
-			s.Satisfied++
+		case x.succeeded && took <= b.Products[x.Product].AbandonMs+b.AnswerGraceMs:
+			s.Succeeded++
 			waits.RecordValue(int64(took * 1000))
-			if took <= b.Products[x.Product].Expected {
+			if took <= b.Products[x.Product].ExpectedMs {
 				s.InTime++
 			}
-		case x.Sent == 0:
-			s.NotTaken++
+		case x.SentAt == 0:
+			s.NotSent++
 		case x.Status == 503 || x.Status == 429:
-			s.Dismissed++
-		case x.Excused != "":
+			s.Shed++
+		case x.ExcuseReason != "":
 			s.Excused++
 		default:
 			s.Failed++
 		}
 	}
-	s.P50, s.P99 = float64(waits.ValueAtQuantile(50))/1000, float64(waits.ValueAtQuantile(99))/1000
+	s.P50Ms, s.P99Ms = float64(waits.ValueAtQuantile(50))/1000, float64(waits.ValueAtQuantile(99))/1000
 	return s
 }
 
 // Line is one product's or endpoint's figures in a window, for tables and charts.
-type Line struct {
-	From   float64
-	Counts []float64 // arrivals by endpoint
+type WindowFigures struct {
+	From          float64
+	ArrivalCounts []float64 // arrivals by endpoint
 	Service
 }
 
 // OwnLateness is by how much the clients sent later than was due, at a quantile from 0 to 100: the rehearsal's own fault.
-func (b *Book) OwnLateness(quantile float64) (ms float64) {
+func (b *Book) HarnessSendDelay(quantile float64) (ms float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	late := hdrhistogram.New(1, 600_000_000, 3)
-	for _, x := range b.order {
-		if x.Sent > 0 {
-			late.RecordValue(int64(max(x.Sent-x.At, 0) * 1000))
+	delays := hdrhistogram.New(1, 600_000_000, 3)
+	for _, x := range b.exchangesInOrder {
+		if x.SentAt > 0 {
+			delays.RecordValue(int64(max(x.SentAt-x.DueAt, 0) * 1000))
 		}
 	}
-	return float64(late.ValueAtQuantile(quantile)) / 1000
+	return float64(delays.ValueAtQuantile(quantile)) / 1000
 }
 
 // Counts are the arrivals at each endpoint within a time.
-func (b *Book) Counts(from, to float64) []float64 {
+func (b *Book) ArrivalCounts(from, to float64) []float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	counts := make([]float64, len(b.Names))
+	counts := make([]float64, len(b.EndpointNames))
 	for _, g := range b.legs {
-		if g.At >= from && g.At < to {
+		if g.ArrivedAt >= from && g.ArrivedAt < to {
 			counts[g.Endpoint]++
 		}
 	}
@@ -172,81 +172,81 @@
 }
 
 // Lines are the whole time in windows.
-func (b *Book) Lines(length, window float64) (all []Line) {
+func (b *Book) FiguresByWindow(length, window float64) (all []WindowFigures) {
 	for from := 0.0; from < length; from += window {
-		all = append(all, Line{From: from, Service: b.Service(from, from+window, -1), Counts: b.Counts(from, from+window)})
+		all = append(all, WindowFigures{From: from, Service: b.Service(from, from+window, -1), ArrivalCounts: b.ArrivalCounts(from, from+window)})
 	}
 	return all
 }
 
 // Outage is an endpoint that sidecars were told to send nothing new to.
-type Outage struct {
-	Endpoint    string
-	How         string
-	Told        int // sidecars
-	First, Last float64
-	Senders     int // sidecars that sent there after the last was told and the grace, until the first was told otherwise
-	Legs        int // that these sent
+type DrainSummary struct {
+	Endpoint                        string
+	Source                          string
+	Notified                        int // sidecars
+	FirstNotifiedAt, LastNotifiedAt float64
+	LateSenders                     int // sidecars that sent there after the last was told and the grace, until the first was told otherwise
+	LateLegs                        int // that these sent
 }
 
 // Outages are all of them, by endpoint and by how it was told.
-func (b *Book) Outages() (all []Outage) {
+func (b *Book) DrainSummaries() (all []DrainSummary) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	type key struct {
 		endpoint int
 		how      string
 	}
-	seen, until := map[key]*Outage{}, map[key]float64{}
+	seen, until := map[key]*DrainSummary{}, map[key]float64{}
 	for k, list := range b.drains {
 		for _, d := range list {
-			o := seen[key{k[1], d.why}]
+			o := seen[key{k[1], d.reason}]
 			if o == nil {
-				o = &Outage{Endpoint: b.Names[k[1]], How: d.why, First: d.from, Last: d.from}
-				seen[key{k[1], d.why}], until[key{k[1], d.why}] = o, math.Inf(1)
+				o = &DrainSummary{Endpoint: b.EndpointNames[k[1]], Source: d.reason, FirstNotifiedAt: d.from, LastNotifiedAt: d.from}
+				seen[key{k[1], d.reason}], until[key{k[1], d.reason}] = o, math.Inf(1)
 			}
-			o.Told++
-			o.First, o.Last = min(o.First, d.from), max(o.Last, d.from)
-			until[key{k[1], d.why}] = min(until[key{k[1], d.why}], d.to) // then it comes back
+			o.Notified++
+			o.FirstNotifiedAt, o.LastNotifiedAt = min(o.FirstNotifiedAt, d.from), max(o.LastNotifiedAt, d.from)
+			until[key{k[1], d.reason}] = min(until[key{k[1], d.reason}], d.to) // then it comes back
 		}
 	}
 	for k, o := range seen {
-		who := map[int]bool{}
+		senders := map[int]bool{}
 		for _, l := range b.legs {
-			if l.Endpoint == k.endpoint && l.At > o.Last+b.Drain && l.At < until[k] && l.exchange != nil {
-				who[l.exchange.Sidecar] = true
-				o.Legs++
+			if l.Endpoint == k.endpoint && l.ArrivedAt > o.LastNotifiedAt+b.DrainGraceMs && l.ArrivedAt < until[k] && l.exchange != nil {
+				senders[l.exchange.Sidecar] = true
+				o.LateLegs++
 			}
 		}
-		o.Senders = len(who)
+		o.LateSenders = len(senders)
 		all = append(all, *o)
 	}
-	slices.SortFunc(all, func(a, o Outage) int {
-		return cmp.Or(cmp.Compare(a.First, o.First), cmp.Compare(a.Endpoint, o.Endpoint))
+	slices.SortFunc(all, func(a, o DrainSummary) int {
+		return cmp.Or(cmp.Compare(a.FirstNotifiedAt, o.FirstNotifiedAt), cmp.Compare(a.Endpoint, o.Endpoint))
 	})
 	return all
 }
 
 // MostHeld is the most legs that one endpoint held at once, within a time.
-func (b *Book) MostHeld(from, to float64) int {
+func (b *Book) MaxConcurrentLegs(from, to float64) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	type step struct {
+	type change struct {
 		at float64
 		by int
 	}
-	steps, most := make([][]step, len(b.Names)), 0
+	changes, most := make([][]change, len(b.EndpointNames)), 0
 	for _, l := range b.legs {
-		if l.At >= from && l.At < to {
-			end := l.Ended
+		if l.ArrivedAt >= from && l.ArrivedAt < to {
+			end := l.EndedAt
 			if end == 0 {
 				end = math.Inf(1)
 			}
-			steps[l.Endpoint] = append(steps[l.Endpoint], step{l.At, 1}, step{end, -1})
+			changes[l.Endpoint] = append(changes[l.Endpoint], change{l.ArrivedAt, 1}, change{end, -1})
 		}
 	}
-	for _, list := range steps {
-		slices.SortFunc(list, func(a, o step) int {
+	for _, list := range changes {
+		slices.SortFunc(list, func(a, o change) int {
 			if a.at != o.at {
 				if a.at < o.at {
 					return -1
@@ -255,10 +255,10 @@
 			}
 			return a.by - o.by
 		})
-		held := 0
+		open := 0
 		for _, s := range list {
-			held += s.by
-			most = max(most, held)
+			open += s.by
+			most = max(most, open)
 		}
 	}
 	return most
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -29,20 +29,20 @@
 
 // Text is the table for a terminal.
 func (t Table) Text() string {
-	wide := make([]int, len(t.Head))
+	widths := make([]int, len(t.Head))
 	all := append([][]string{t.Head}, t.Rows...)
 	for _, row := range all {
 		for n, cell := range row {
-			wide[n] = max(wide[n], len([]rune(cell)))
+			widths[n] = max(widths[n], len([]rune(cell)))
 		}
 	}
 	var b strings.Builder
 	for _, row := range all {
 		for n, cell := range row {
 			if n == 0 {
-				fmt.Fprintf(&b, "%-*s", wide[n], cell)
+				fmt.Fprintf(&b, "%-*s", widths[n], cell)
 			} else {
-				fmt.Fprintf(&b, "  %*s", wide[n], cell)
+				fmt.Fprintf(&b, "  %*s", widths[n], cell)
 			}
 		}
 		b.WriteString("\n")
@@ -114,13 +114,13 @@
 	if err := os.MkdirAll(filepath.Dir(dir), 0o755); err != nil {
 		return err
 	}
-	work, err := os.MkdirTemp(filepath.Dir(dir), ".unfinished-")
+	tempDir, err := os.MkdirTemp(filepath.Dir(dir), ".unfinished-")
 	if err != nil {
 		return err
 	}
 	defer func() {
 		if err != nil {
-			os.RemoveAll(work)
+			os.RemoveAll(tempDir)
 			err = fmt.Errorf("no report was written: %w", err)
 		}
 	}()
@@ -130,7 +130,7 @@
 		if err != nil {
 			return err
 		}
-		if err := writeFile(filepath.Join(work, c.Name+".svg"), text, 0o644); err != nil {
+		if err := writeFile(filepath.Join(tempDir, c.Name+".svg"), text, 0o644); err != nil {
 			return err
 		}
 		svg = append(svg, template.HTML(text[bytes.Index(text, []byte("<svg")):]))
@@ -140,27 +140,27 @@
 		out := csv.NewWriter(&b)
 		out.Write(t.Head)
 		out.WriteAll(t.Rows)
-		if err := writeFile(filepath.Join(work, t.Name+".csv"), b.Bytes(), 0o644); err != nil {
+		if err := writeFile(filepath.Join(tempDir, t.Name+".csv"), b.Bytes(), 0o644); err != nil {
 			return err
 		}
 	}
-	if err := writeFile(filepath.Join(work, "scenario.toml"), []byte(r.Scenario), 0o644); err != nil {
+	if err := writeFile(filepath.Join(tempDir, "scenario.toml"), []byte(r.Scenario), 0o644); err != nil {
 		return err
 	}
 	var b bytes.Buffer
-	if err := page.Execute(&b, map[string]any{"R": r, "SVG": svg}); err != nil {
+	if err := pageTemplate.Execute(&b, map[string]any{"R": r, "SVG": svg}); err != nil {
 		return err
 	}
-	if err := writeFile(filepath.Join(work, "index.html"), b.Bytes(), 0o644); err != nil {
+	if err := writeFile(filepath.Join(tempDir, "index.html"), b.Bytes(), 0o644); err != nil {
 		return err
 	}
-	if err := os.Chmod(work, 0o755); err != nil {
+	if err := os.Chmod(tempDir, 0o755); err != nil {
 		return err
 	}
-	return os.Rename(work, dir)
+	return os.Rename(tempDir, dir)
 }
 
-var page = template.Must(template.New("").Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("").Parse(`<!DOCTYPE html>
 <html lang="en"><meta charset="utf-8"><title>{{.R.Title}}</title>
 <style>body{font:15px sans-serif;max-width:60em;margin:2em auto;padding:0 1em;color:#222}table{border-collapse:collapse;margin:1em 0}
 td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ccc}td:first-child,th:first-child{text-align:left}
@@ -175,7 +175,7 @@
 `))
 
 // F writes a figure with so many digits behind the point.
-func F(v float64, digits int) string { return strconv.FormatFloat(v, 'f', digits, 64) }
+func FormatFloat(v float64, digits int) string { return strconv.FormatFloat(v, 'f', digits, 64) }
 
 // ReadTable reads one that was written.
 func ReadTable(path string) (t Table, err error) {
--- a/internal/rig/client.go
+++ b/internal/rig/client.go
@@ -99,8 +99,8 @@
 		return
 	}
 	p := &c.rig.s.Products[a.Product]
-	x := &records.Exchange{ID: a.ID, Sidecar: a.Sidecar, Product: a.Product, Work: a.Work, At: a.At}
-	c.rig.book.Ask(x)
+	x := &records.Exchange{ID: a.ID, Sidecar: a.Sidecar, Product: a.Product, Work: a.Work, DueAt: a.At}
+	c.rig.book.AddExchange(x)
 	method, extra := "GET", ""
 	if p.Effect != "replayable" {
 		method, extra = "POST", "Content-Length: 0\r\n"
@@ -117,7 +117,7 @@
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
 				c.rig.fail(c.rig.plain(err))
 			}
-			c.rig.book.Answered(x, 0, err.Error(), sent, c.rig.now())
+			c.rig.book.RecordAnswer(x, 0, err.Error(), sent, c.rig.now())
 			return
 		}
 		used := l.used
@@ -138,7 +138,7 @@
 					cut(l.Conn)
 				}
 				l.Close()
-				c.rig.book.Leaves(x, sent, c.rig.now())
+				c.rig.book.RecordClientLeft(x, sent, c.rig.now())
 				return
 			}
 			if patience > 0 { // an answer came first; what stands behind the request makes the connection useless
@@ -162,7 +162,7 @@
 			if !used && try == 0 && isShut(err) && c.rig.crowded(c.sidecar) {
 				sent = 0 // shut unread, for want of a descriptor
 			}
-			c.rig.book.Answered(x, 0, err.Error(), sent, c.rig.now())
+			c.rig.book.RecordAnswer(x, 0, err.Error(), sent, c.rig.now())
 			return
 		}
 		body, err := io.ReadAll(got.Body)
@@ -172,7 +172,7 @@
 		} else if got.StatusCode == http.StatusOK && string(body) != answerTo(a.ID) {
 			wrong = fmt.Sprintf("not made for it: %.40q", body)
 		}
-		c.rig.book.Answered(x, got.StatusCode, wrong, sent, c.rig.now())
+		c.rig.book.RecordAnswer(x, got.StatusCode, wrong, sent, c.rig.now())
 		if err != nil || got.Close || patience > 0 {
 			l.Close()
 		} else {
--- a/internal/rig/crowd_test.go
+++ b/internal/rig/crowd_test.go
@@ -38,12 +38,12 @@
 	result, err := (&Rig{Program: program, Dir: t.TempDir()}).Run(t.Context(), s)
 	require.NoError(t, err)
 	for _, b := range result.Broken {
-		t.Errorf("%s: %s", b.Rule, b.Story)
+		t.Errorf("%s: %s", b.Rule, b.Details)
 	}
 	all := result.Book.Service(2000, 6000, -1)
 	t.Logf("%+v", all)
-	assert.Greater(t, all.Asked, 300)
-	assert.GreaterOrEqual(t, float64(all.InTime), soundShare*float64(all.Asked))
+	assert.Greater(t, all.Requests, 300)
+	assert.GreaterOrEqual(t, float64(all.InTime), soundShare*float64(all.Requests))
 }
 
 // Idle clients take a sidecar's descriptors, every third with half a head, and come again when they are sent away. Nearly every request
--- a/internal/rig/crowded_return_test.go
+++ b/internal/rig/crowded_return_test.go
@@ -17,6 +17,6 @@
 	result, err := play(t, &Rig{Program: program(t, "")}, "crowded-return.toml")
 	require.NoError(t, err)
 	if many := len(result.Broken); many > 0 {
-		t.Errorf("%d cases, the first: %s: %s", many, result.Broken[0].Rule, result.Broken[0].Story)
+		t.Errorf("%d cases, the first: %s: %s", many, result.Broken[0].Rule, result.Broken[0].Details)
 	}
 }
--- a/internal/rig/endpoint.go
+++ b/internal/rig/endpoint.go
@@ -46,7 +46,7 @@
 	if cold {
 		started = now
 	}
-	e.number = r.book.Endpoint(name, now)
+	e.number = r.book.AddEndpoint(name, now)
 	e.addr = r.block.at(rowEndpoint, e.number)
 	e.model = emulator.New(r.s.EmulatorKind(p), r.s.SeedOf(name), started, now)
 	e.timer = time.AfterFunc(time.Hour, e.beat)
@@ -79,7 +79,7 @@
 			return
 		}
 		e.conns[c] = false
-		e.rig.book.Dial(e.number)
+		e.rig.book.CountConnection(e.number)
 	case http.StateClosed, http.StateHijacked:
 		delete(e.conns, c)
 	}
@@ -159,22 +159,22 @@
 	}
 	io.Copy(io.Discard, r.Body)
 	id := r.Header.Get("Request-Id")
-	l := &records.Leg{Exchange: id, Endpoint: e.number, At: at}
-	x := e.rig.book.Find(id)
+	l := &records.Leg{Exchange: id, Endpoint: e.number, ArrivedAt: at}
+	x := e.rig.book.FindExchange(id)
 	if x != nil {
 		l.Work = x.Work
-		l.Keyed = r.Header.Get("Idempotency-Key") == keyOf(id)
-		l.Deadline, _ = strconv.ParseFloat(strings.TrimSuffix(r.Header.Get("Request-Timeout"), "m"), 64)
+		l.KeyIntact = r.Header.Get("Idempotency-Key") == keyOf(id)
+		l.DeadlineMs, _ = strconv.ParseFloat(strings.TrimSuffix(r.Header.Get("Request-Timeout"), "m"), 64)
 	}
 	conn, _ := r.Context().Value(connKey{}).(net.Conn)
 	e.mu.Lock()
 	used, open := e.conns[conn]
-	if l.Fresh = open && !used; open {
+	if l.NewConnection = open && !used; open {
 		e.conns[conn] = true
 	}
-	e.rig.book.Arrive(l)
+	e.rig.book.AddLeg(l)
 	work := l.Work
-	if l.Fresh {
+	if l.NewConnection {
 		work += e.rig.s.Endpoints[e.GroupIndex].HandshakeWork
 	}
 	e.model.Advance(e.rig.now(), e.done)
@@ -187,7 +187,7 @@
 	case emulator.Down:
 		if e.model.Falls > e.falls {
 			e.falls = e.model.Falls
-			e.rig.book.Fell(e.number, at)
+			e.rig.book.RecordCollapse(e.number, at)
 		}
 		e.abandon()
 	}
@@ -195,12 +195,12 @@
 	e.mu.Unlock()
 	switch taken {
 	case emulator.Full:
-		e.rig.book.End(l, "full", e.rig.now())
+		e.rig.book.EndLeg(l, "full", e.rig.now())
 		w.Header().Set("Not-Started", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case emulator.Failed:
-		e.rig.book.End(l, "failed", e.rig.now())
+		e.rig.book.EndLeg(l, "failed", e.rig.now())
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -208,16 +208,16 @@
 	case ok, there := <-ready:
 		switch {
 		case !there: // closed: the process is gone, and so is the connection
-			e.rig.book.End(l, "cut", e.rig.now())
+			e.rig.book.EndLeg(l, "cut", e.rig.now())
 		case ok:
-			e.rig.book.End(l, "satisfied", e.rig.now())
+			e.rig.book.EndLeg(l, "satisfied", e.rig.now())
 			io.WriteString(w, answerTo(id))
 		default:
-			e.rig.book.End(l, "errored", e.rig.now())
+			e.rig.book.EndLeg(l, "errored", e.rig.now())
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	case <-r.Context().Done():
-		e.rig.book.End(l, "left", e.rig.now())
+		e.rig.book.EndLeg(l, "left", e.rig.now())
 		e.mu.Lock()
 		delete(e.waiting, job)
 		e.model.Advance(e.rig.now(), e.done)
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -129,7 +129,7 @@
 	e := r.current[p.Name]
 	r.mu.Unlock()
 	entry := listed{ID: e.Name, Zone: p.Zone, Cell: 1, State: "terminating", Weight: 1, number: e.number}
-	r.book.Out(e.number, r.now())
+	r.book.SetInServiceUntil(e.number, r.now())
 	r.lists.say(entry)
 	if f.Kind == "replace" {
 		if _, err := r.addEndpoint(p, e.Name+"n", true); err != nil {
@@ -153,7 +153,7 @@
 			e, process := r.current[t.Name], r.sidecars[p.Number]
 			r.mu.Unlock()
 			if word == "ready" {
-				r.book.Back(p.Number, e.number, r.now())
+				r.book.RecordUndrain(p.Number, e.number, r.now())
 			}
 			if process == nil {
 				continue
@@ -165,7 +165,7 @@
 			if err := call(console, "/endpoints/"+e.Name+"/"+word, 5*time.Second); err != nil {
 				r.Say(r.now(), fmt.Sprintf("no yes from s%d to %s of %s: %v", p.Number, word, e.Name, err))
 			} else if word == "maint" {
-				r.book.Told(p.Number, e.number, r.now(), "by hand")
+				r.book.RecordDrain(p.Number, e.number, r.now(), "by hand")
 			}
 		}
 		if word == "maint" {
--- a/internal/rig/handover_test.go
+++ b/internal/rig/handover_test.go
@@ -44,7 +44,7 @@
 			result, err := (&Rig{Program: program(t, ""), Dir: t.TempDir()}).Run(t.Context(), s)
 			require.NoError(t, err)
 			if many := len(result.Broken); many > 0 {
-				t.Errorf("%d cases, the first: %s: %s", many, result.Broken[0].Rule, result.Broken[0].Story)
+				t.Errorf("%d cases, the first: %s: %s", many, result.Broken[0].Rule, result.Broken[0].Details)
 			}
 		})
 	}
--- a/internal/rig/list.go
+++ b/internal/rig/list.go
@@ -177,7 +177,7 @@
 			return
 		}
 		for _, number := range out {
-			l.rig.book.Told(sidecar, number, at, why)
+			l.rig.book.RecordDrain(sidecar, number, at, why)
 		}
 	})
 }
--- a/internal/rig/pulse.go
+++ b/internal/rig/pulse.go
@@ -22,7 +22,7 @@
 	for last := r.now(); ctx.Err() == nil; last = r.now() {
 		time.Sleep(pulseBeat)
 		if now := r.now(); now-last > float64(pulseLate.Milliseconds()) {
-			r.book.Late(last, now)
+			r.book.RecordHarnessDelay(last, now)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 		}
 		written := math.Float64frombits(binary.BigEndian.Uint64(text))
 		if now := r.now(); written <= now && now-written > float64(pulseLate.Milliseconds()) {
-			r.book.Late(written, now)
+			r.book.RecordHarnessDelay(written, now)
 		}
 	}
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -87,7 +87,7 @@
 type Result struct {
 	Scenario  *scenario.Scenario
 	Book      *records.Book
-	Broken    []records.Broken
+	Broken    []records.Violation
 	Usage     []Usage
 	Events    []Event
 	Endpoints int // at the start; later ones replaced some of these
@@ -141,14 +141,14 @@
 	if r.Say == nil {
 		r.Say = func(float64, string) {}
 	}
-	terms := records.Terms{Grace: grace, Drain: s.Fleet.DrainGrace + socketSlack, Free: s.Fleet.ExtraFree, Ratio: s.Fleet.ExtraRatio, LookBack: s.Fleet.BudgetWindow * 1000,
-		SoundShare: s.Fleet.HealthyShare}
+	terms := records.Terms{AnswerGraceMs: grace, DrainGraceMs: s.Fleet.DrainGrace + socketSlack, FreeExtraLegs: s.Fleet.ExtraFree, ExtraLegRatio: s.Fleet.ExtraRatio, BudgetWindowMs: s.Fleet.BudgetWindow * 1000,
+		MinServedShare: s.Fleet.HealthyShare}
 	for _, p := range s.Products {
-		terms.Products = append(terms.Products, records.Product{Name: p.Name, Expected: p.ExpectedTime, Abandon: p.AbandonTime,
+		terms.Products = append(terms.Products, records.Product{Name: p.Name, ExpectedMs: p.ExpectedTime, AbandonMs: p.AbandonTime,
 			SingleUse: p.Effect == "single-use", Referenced: p.Effect == "referenced"})
 	}
 	r.book = records.New(terms)
-	r.book.Slack, r.book.Sound = r.slack, r.sound
+	r.book.LinkSlackMs, r.book.Healthy = r.slack, r.sound
 	go r.pulse(ctx)
 	err := r.netPulse(ctx)
 	if err != nil {
@@ -208,7 +208,7 @@
 	r.zero.Store(int64(time.Since(r.began)))
 	for n, e := range r.endpoints {
 		e.model = emulator.New(r.s.EmulatorKind(e.Node), r.s.SeedOf(e.Name), -1e12, 0)
-		r.book.Began(n, 0)
+		r.book.SetInServiceFrom(n, 0)
 		e.mu.Unlock()
 	}
 }
@@ -350,7 +350,7 @@
 	}
 	for _, e := range entries {
 		if e.State != "in_service" {
-			r.book.Told(sidecar, e.number, at, "listed as "+e.State)
+			r.book.RecordDrain(sidecar, e.number, at, "listed as "+e.State)
 		}
 	}
 }
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -68,10 +68,10 @@
 	result, err := play(t, &Rig{Program: program(t, "")}, "faults.toml")
 	require.NoError(t, err)
 	for _, b := range result.Broken {
-		t.Errorf("%s: %s", b.Rule, b.Story)
+		t.Errorf("%s: %s", b.Rule, b.Details)
 	}
 	all := result.Book.Service(0, 14000, -1)
-	assert.Greater(t, all.Satisfied, all.Asked/2, "%+v", all)
+	assert.Greater(t, all.Succeeded, all.Requests/2, "%+v", all)
 	done := strings.Builder{}
 	for _, e := range result.Events {
 		done.WriteString(e.Text + "\n")
@@ -92,13 +92,13 @@
 			t.Parallel()
 			result, err := play(t, &Rig{Program: program(t, "seeded"), Env: []string{"LYNXJUNCTION_DEFECT=" + defect}}, "leave.toml")
 			require.NoError(t, err)
-			left, late := result.Book.Left()
+			left, late := result.Book.CountClientsLeft()
 			t.Logf("%d clients left, %d legs came over 0.1 s later", left, late)
 			assert.Greater(t, left, 150)
 			assert.Equal(t, defect != "", late > 0)
 			for _, b := range result.Broken {
-				if defect == "" || b.Rule != records.Deserted {
-					t.Errorf("%s: %s", b.Rule, b.Story)
+				if defect == "" || b.Rule != records.RuleNoLegAfterClientLeft {
+					t.Errorf("%s: %s", b.Rule, b.Details)
 				}
 			}
 		})
@@ -108,7 +108,7 @@
 // The checker itself: a defect sown for each rule is found, with its story; without it all is kept.
 func TestSeededDefects(t *testing.T) {
 	t.Parallel()
-	for defect, rule := range map[string]string{"": "", "lost": records.Lost, "twice": records.Twice, "drains": records.Drains, "cold": records.Cold, "budget": records.Budget} {
+	for defect, rule := range map[string]string{"": "", "lost": records.RuleNoExchangeLost, "twice": records.RuleNoDuplicateEffect, "drains": records.RuleDrainsKept, "cold": records.RuleNoColdCollapse, "budget": records.RuleLegBudget} {
 		t.Run("defect "+defect, func(t *testing.T) {
 			t.Parallel()
 			result, err := play(t, &Rig{Program: program(t, "seeded"), Env: []string{"LYNXJUNCTION_DEFECT=" + defect}}, "rules.toml")
@@ -116,9 +116,9 @@
 			found := map[string]int{}
 			for _, b := range result.Broken {
 				found[b.Rule]++
-				assert.NotEmpty(t, b.Story)
+				assert.NotEmpty(t, b.Details)
 				if defect == "" {
-					t.Errorf("%s: %s", b.Rule, b.Story)
+					t.Errorf("%s: %s", b.Rule, b.Details)
 				}
 			}
 			if defect != "" {
@@ -137,13 +137,13 @@
 	result, err := play(t, &Rig{Program: program(t, "")}, "even.toml")
 	require.NoError(t, err)
 	for _, b := range result.Broken {
-		t.Errorf("%s: %s", b.Rule, b.Story)
+		t.Errorf("%s: %s", b.Rule, b.Details)
 	}
 	for n := 0; n < len(result.Scenario.Phases); n += 2 {
 		from, to := result.Scenario.Phases[n]*1000, result.Scenario.Phases[n+1]*1000
 		v := result.Book.Spread(from, to, to-from, 1)
-		assert.Greater(t, v.Least, 0.3*v.Mean, "phase from %.0f: %+v", from, v)
-		assert.Less(t, v.Most, 4*v.Mean, "phase from %.0f: %+v", from, v)
+		assert.Greater(t, v.MinArrivals, 0.3*v.MeanArrivals, "phase from %.0f: %+v", from, v)
+		assert.Less(t, v.MaxArrivals, 4*v.MeanArrivals, "phase from %.0f: %+v", from, v)
 	}
 }
 
--- a/internal/rig/watch_test.go
+++ b/internal/rig/watch_test.go
@@ -38,7 +38,7 @@
 	})
 	c := &listTrial{T: t, rig: r}
 	for n := range 2 {
-		r.book.Endpoint(fmt.Sprint("e", n), 0)
+		r.book.AddEndpoint(fmt.Sprint("e", n), 0)
 		c.list(n, "in_service")
 	}
 	return c
@@ -85,9 +85,9 @@
 
 // told is when the sidecar counted as told of an endpoint, and why.
 func (c *listTrial) told(endpoint string) (at float64, why string) {
-	for _, o := range c.rig.book.Outages() {
+	for _, o := range c.rig.book.DrainSummaries() {
 		if o.Endpoint == endpoint {
-			return o.First, o.How
+			return o.FirstNotifiedAt, o.Source
 		}
 	}
 	return -1, ""
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -15,36 +15,36 @@
 
 // Sizes of a drawn rehearsal.
 const (
-	lengthSeconds     = 16.0
-	fewestSidecars    = 3
-	mostSidecars      = 12
-	mostSidecarsLarge = 100 // with large fleets
-	fewestEndpoints   = 5
-	mostEndpoints     = 12
-	requestsASecond   = 150.0 // of the whole fleet
-	workMs            = 8.0
-	lastFaultSeconds  = 11.0 // later ones would have no time to show
-	crowdSockets      = 256  // of each sidecar, in rehearsals with a crowd
+	lengthSeconds          = 16.0
+	minSidecars            = 3
+	maxSidecars            = 12
+	maxSidecarsLarge       = 100 // with large fleets
+	minEndpoints           = 5
+	maxEndpoints           = 12
+	fleetRequestsPerSecond = 150.0 // of the whole fleet
+	workMs                 = 8.0
+	lastFaultSeconds       = 11.0 // later ones would have no time to show
+	floodSocketLimit       = 256  // of each sidecar, in rehearsals with a crowd
 )
 
 // Draw is the rehearsal of a seed.
 func Draw(seed uint64, large bool) (*scenario.Scenario, error) {
-	d := &drawing{Rand: rand.New(rand.NewPCG(seed, 50))}
-	d.s = scenario.Scenario{Title: fmt.Sprintf("soak, seed %d", seed), Seed: seed, Length: lengthSeconds, Phases: []float64{0, lengthSeconds}}
-	d.fleet(large)
-	d.products()
-	d.endpoints()
+	d := &generator{Rand: rand.New(rand.NewPCG(seed, 50))}
+	d.scenario = scenario.Scenario{Title: fmt.Sprintf("soak, seed %d", seed), Seed: seed, Length: lengthSeconds, Phases: []float64{0, lengthSeconds}}
+	d.drawFleet(large)
+	d.drawProducts()
+	d.drawEndpoints()
 	d.processFaults()
-	d.signalSeries()
-	d.crowd()
-	if d.chance(0.35) {
+	d.reloadSeries()
+	d.connectionFlood()
+	if d.withProbability(0.35) {
 		d.busyDiscovery()
 	} else {
 		d.discoveryFaults()
 	}
 	d.endpointFaults()
 	d.linkFaults()
-	text, err := Text(&d.s)
+	text, err := Text(&d.scenario)
 	if err != nil {
 		return nil, err
 	}
@@ -58,198 +58,198 @@
 	return text.Bytes(), err
 }
 
-type drawing struct {
+type generator struct {
 	*rand.Rand
-	s                scenario.Scenario
-	drained, staying []int // endpoints: what drains does not crash, for then it would be listed in service again
+	scenario                            scenario.Scenario
+	drainingEndpoints, stayingEndpoints []int // endpoints: what drains does not crash, for then it would be listed in service again
 }
 
 // hundredth rounds what stands in the file.
-func hundredth(v float64) float64 { return math.Round(100*v) / 100 }
+func roundToHundredth(v float64) float64 { return math.Round(100*v) / 100 }
 
 // between draws from a range, to a hundredth.
-func (d *drawing) between(least, most float64) float64 {
-	return hundredth(least + d.Float64()*(most-least))
+func (d *generator) uniform(low, high float64) float64 {
+	return roundToHundredth(low + d.Float64()*(high-low))
 }
 
-func (d *drawing) chance(p float64) bool { return d.Float64() < p }
+func (d *generator) withProbability(p float64) bool { return d.Float64() < p }
 
-func (d *drawing) fleet(large bool) {
-	many := fewestSidecars + d.IntN(mostSidecars-fewestSidecars+1)
+func (d *generator) drawFleet(large bool) {
+	sidecars := minSidecars + d.IntN(maxSidecars-minSidecars+1)
 	if large {
-		many = mostSidecars + d.IntN(mostSidecarsLarge-mostSidecars+1)
+		sidecars = maxSidecars + d.IntN(maxSidecarsLarge-maxSidecars+1)
 	}
-	d.s.Fleet = scenario.Fleet{Sidecars: many, Rate: requestsASecond / float64(many), HeavyShare: 0.2, HeavyFactor: 3, Zones: []string{"a"}, MaxLegs: 2 + d.IntN(3)}
-	if d.chance(0.5) {
-		d.s.Fleet.Zones = []string{"a", "b"}
+	d.scenario.Fleet = scenario.Fleet{Sidecars: sidecars, Rate: fleetRequestsPerSecond / float64(sidecars), HeavyShare: 0.2, HeavyFactor: 3, Zones: []string{"a"}, MaxLegs: 2 + d.IntN(3)}
+	if d.withProbability(0.5) {
+		d.scenario.Fleet.Zones = []string{"a", "b"}
 	}
-	if d.chance(0.3) {
-		d.s.Fleet.BudgetWindow, d.s.Fleet.ExtraFree, d.s.Fleet.ExtraRatio = 4, 4, 0.2
+	if d.withProbability(0.3) {
+		d.scenario.Fleet.BudgetWindow, d.scenario.Fleet.ExtraFree, d.scenario.Fleet.ExtraRatio = 4, 4, 0.2
 	}
 }
 
-func (d *drawing) products() {
+func (d *generator) drawProducts() {
 	for _, effect := range []string{"replayable", "single-use", "referenced"} {
-		abandon := math.Round(d.between(300, 2500))
-		d.s.Products = append(d.s.Products, scenario.Product{Name: "to-" + effect, Effect: effect, Share: d.between(0.2, 1),
-			ExpectedTime: math.Round(abandon * d.between(0.4, 0.9)), AbandonTime: abandon, Work: workMs, Distribution: "exponential"})
+		abandon := math.Round(d.uniform(300, 2500))
+		d.scenario.Products = append(d.scenario.Products, scenario.Product{Name: "to-" + effect, Effect: effect, Share: d.uniform(0.2, 1),
+			ExpectedTime: math.Round(abandon * d.uniform(0.4, 0.9)), AbandonTime: abandon, Work: workMs, Distribution: "exponential"})
 	}
 }
 
-func (d *drawing) endpoints() {
-	g := scenario.Group{Name: "e", Count: fewestEndpoints + d.IntN(mostEndpoints-fewestEndpoints+1), Cores: 2, Slots: 4, QueueSize: 100, MaxConnections: 2000}
-	if d.chance(0.3) {
-		g.ErrorShare = 0.02
+func (d *generator) drawEndpoints() {
+	group := scenario.Group{Name: "e", Count: minEndpoints + d.IntN(maxEndpoints-minEndpoints+1), Cores: 2, Slots: 4, QueueSize: 100, MaxConnections: 2000}
+	if d.withProbability(0.3) {
+		group.ErrorShare = 0.02
 	}
-	if d.chance(0.3) {
-		g.PauseInterval, g.PauseLength = 3, 60
+	if d.withProbability(0.3) {
+		group.PauseInterval, group.PauseLength = 3, 60
 	}
-	if d.chance(0.5) { // one that starts can take a few requests a second only, less than its part of the load
-		g.ColdFrom, g.ColdPeriod, g.FallMultiple, g.FallWindow, g.DownTime, g.FallSlack = 0.01, 60, 2, 1, 3, true
+	if d.withProbability(0.5) { // one that starts can take a few requests a second only, less than its part of the load
+		group.ColdFrom, group.ColdPeriod, group.FallMultiple, group.FallWindow, group.DownTime, group.FallSlack = 0.01, 60, 2, 1, 3, true
 	}
-	d.s.Endpoints = []scenario.Group{g}
-	order := d.Perm(g.Count)
-	drains := 1 + d.IntN(3)
-	d.drained, d.staying = order[:drains], order[drains:]
+	d.scenario.Endpoints = []scenario.Group{group}
+	order := d.Perm(group.Count)
+	drainCount := 1 + d.IntN(3)
+	d.drainingEndpoints, d.stayingEndpoints = order[:drainCount], order[drainCount:]
 }
 
-func (d *drawing) add(f scenario.Fault) { d.s.Faults = append(d.s.Faults, f) }
+func (d *generator) addFault(f scenario.Fault) { d.scenario.Faults = append(d.scenario.Faults, f) }
 
-func (d *drawing) time(last float64) float64 { return d.between(0.5, last) }
+func (d *generator) faultTime(latest float64) float64 { return d.uniform(0.5, latest) }
 
 // some draws sidecars or endpoints by their letter, no more than a share of them.
-func (d *drawing) some(letter string, of int, share float64) (names []string) {
-	for _, n := range d.Perm(of)[:max(1, int(float64(of)*share*d.Float64()))] {
-		names = append(names, fmt.Sprint(letter, n))
+func (d *generator) pickNames(prefix string, total int, maxShare float64) (names []string) {
+	for _, n := range d.Perm(total)[:max(1, int(float64(total)*maxShare*d.Float64()))] {
+		names = append(names, fmt.Sprint(prefix, n))
 	}
 	return names
 }
 
 // processFaults ends, replaces, halts and reconfigures processes. One process is ended or replaced once at most.
-func (d *drawing) processFaults() {
-	all := d.Perm(d.s.Fleet.Sidecars)
+func (d *generator) processFaults() {
+	all := d.Perm(d.scenario.Fleet.Sidecars)
 	ends := []string{"restart", "upgrade", "kill", "restart", "upgrade"}
 	d.Shuffle(len(ends), func(a, b int) { ends[a], ends[b] = ends[b], ends[a] })
 	for n, what := range ends[:1+d.IntN(min(len(ends), len(all)-1))] {
-		f := scenario.Fault{Kind: what, At: d.time(lastFaultSeconds), Targets: []string{fmt.Sprint("s", all[n])}}
+		f := scenario.Fault{Kind: what, At: d.faultTime(lastFaultSeconds), Targets: []string{fmt.Sprint("s", all[n])}}
 		if what == "kill" {
-			f.Duration = d.between(0.3, 2)
+			f.Duration = d.uniform(0.3, 2)
 		}
-		d.add(f)
+		d.addFault(f)
 	}
-	if d.chance(0.6) {
-		d.add(scenario.Fault{Kind: "stop", At: d.time(lastFaultSeconds), Duration: d.between(0.05, 0.15), Targets: d.some("s", d.s.Fleet.Sidecars, 0.5), Stagger: 0.3})
+	if d.withProbability(0.6) {
+		d.addFault(scenario.Fault{Kind: "stop", At: d.faultTime(lastFaultSeconds), Duration: d.uniform(0.05, 0.15), Targets: d.pickNames("s", d.scenario.Fleet.Sidecars, 0.5), Stagger: 0.3})
 	}
-	if d.chance(0.4) {
-		d.add(scenario.Fault{Kind: "reload", At: d.time(lastFaultSeconds), Targets: []string{"s*"}, Stagger: 0.05})
+	if d.withProbability(0.4) {
+		d.addFault(scenario.Fault{Kind: "reload", At: d.faultTime(lastFaultSeconds), Targets: []string{"s*"}, Stagger: 0.05})
 	}
-	if d.chance(0.5) {
-		d.add(scenario.Fault{Kind: "leave", At: d.time(6), Duration: d.between(2, 6), Targets: d.some("s", d.s.Fleet.Sidecars, 1), Size: math.Round(d.between(10, 300))})
+	if d.withProbability(0.5) {
+		d.addFault(scenario.Fault{Kind: "leave", At: d.faultTime(6), Duration: d.uniform(2, 6), Targets: d.pickNames("s", d.scenario.Fleet.Sidecars, 1), Size: math.Round(d.uniform(10, 300))})
 	}
 }
 
 // signalSeries sends SIGHUP several times a second, to some in the middle of their restart too.
-func (d *drawing) signalSeries() {
-	if !d.chance(0.4) {
+func (d *generator) reloadSeries() {
+	if !d.withProbability(0.4) {
 		return
 	}
-	at, who := d.time(lastFaultSeconds-2), d.some("s", d.s.Fleet.Sidecars, 0.6)
+	at, who := d.faultTime(lastFaultSeconds-2), d.pickNames("s", d.scenario.Fleet.Sidecars, 0.6)
 	for n := range 3 + d.IntN(4) {
-		d.add(scenario.Fault{Kind: "reload", At: hundredth(at + float64(n)*d.between(0.1, 0.3)), Targets: who})
+		d.addFault(scenario.Fault{Kind: "reload", At: roundToHundredth(at + float64(n)*d.uniform(0.1, 0.3)), Targets: who})
 	}
 }
 
 // crowd has idle clients fill the descriptors of some sidecars.
-func (d *drawing) crowd() {
-	if !d.chance(0.25) {
+func (d *generator) connectionFlood() {
+	if !d.withProbability(0.25) {
 		return
 	}
-	d.s.Fleet.Sockets = crowdSockets
-	d.add(scenario.Fault{Kind: "crowd", At: d.time(6), Duration: d.between(2, 6), Targets: d.some("s", min(d.s.Fleet.Sidecars, 3), 1), Size: crowdSockets * 1.2})
+	d.scenario.Fleet.Sockets = floodSocketLimit
+	d.addFault(scenario.Fault{Kind: "crowd", At: d.faultTime(6), Duration: d.uniform(2, 6), Targets: d.pickNames("s", min(d.scenario.Fleet.Sidecars, 3), 1), Size: floodSocketLimit * 1.2})
 }
 
 // busyDiscovery leaves discovery little capacity to spare, for the whole rehearsal, through an outage, a restart of all or spoilt
 // answers, and has endpoints drain meanwhile. The work fits into the time in which a change has to be known.
-func (d *drawing) busyDiscovery() {
-	round, at := d.between(3.5, 4.8), d.time(2)
+func (d *generator) busyDiscovery() {
+	roundSeconds, at := d.uniform(3.5, 4.8), d.faultTime(2)
 	switch d.IntN(3) {
 	case 0:
-		down := d.between(2, 5)
-		d.add(scenario.Fault{Kind: "list-off", At: at, Duration: down})
+		down := d.uniform(2, 5)
+		d.addFault(scenario.Fault{Kind: "list-off", At: at, Duration: down})
 		at = min(at+down, 8)
 	case 1:
-		round = d.between(1, 2)
-		d.add(scenario.Fault{Kind: "list-off", At: at, Duration: 0.2})
-		d.add(scenario.Fault{Kind: "list-spoil", At: at, Size: 1})
+		roundSeconds = d.uniform(1, 2)
+		d.addFault(scenario.Fault{Kind: "list-off", At: at, Duration: 0.2})
+		d.addFault(scenario.Fault{Kind: "list-spoil", At: at, Size: 1})
 	case 2:
-		round = d.between(1, 2)
-		d.add(scenario.Fault{Kind: "move", At: at, Targets: []string{"s*"}, Stagger: 0.02})
+		roundSeconds = d.uniform(1, 2)
+		d.addFault(scenario.Fault{Kind: "move", At: at, Targets: []string{"s*"}, Stagger: 0.02})
 	}
-	d.add(scenario.Fault{Kind: "list-busy", At: 0, Duration: lengthSeconds - 0.5, Size: round})
-	for _, n := range d.drained {
+	d.addFault(scenario.Fault{Kind: "list-busy", At: 0, Duration: lengthSeconds - 0.5, Size: roundSeconds})
+	for _, n := range d.drainingEndpoints {
 		what := "drain"
-		if d.chance(0.5) {
+		if d.withProbability(0.5) {
 			what = "replace"
 		}
-		d.add(scenario.Fault{Kind: what, At: hundredth(max(at+d.between(-1.5, 0.5), 0)), Targets: []string{fmt.Sprint("e", n)}})
+		d.addFault(scenario.Fault{Kind: what, At: roundToHundredth(max(at+d.uniform(-1.5, 0.5), 0)), Targets: []string{fmt.Sprint("e", n)}})
 	}
 }
 
 // discoveryFaults take discovery away, spoil its answers and move it, and have endpoints drain around these times.
-func (d *drawing) discoveryFaults() {
-	at := d.time(3)
-	if d.chance(0.6) {
-		down := d.between(0.5, 5)
-		d.add(scenario.Fault{Kind: "list-off", At: at, Duration: down})
-		at = min(at+down+d.between(0, 0.5), 9)
+func (d *generator) discoveryFaults() {
+	at := d.faultTime(3)
+	if d.withProbability(0.6) {
+		down := d.uniform(0.5, 5)
+		d.addFault(scenario.Fault{Kind: "list-off", At: at, Duration: down})
+		at = min(at+down+d.uniform(0, 0.5), 9)
 	}
-	if d.chance(0.7) {
-		d.add(scenario.Fault{Kind: "list-spoil", At: max(at-0.1, 0), Size: float64(1 + d.IntN(3))})
+	if d.withProbability(0.7) {
+		d.addFault(scenario.Fault{Kind: "list-spoil", At: max(at-0.1, 0), Size: float64(1 + d.IntN(3))})
 	}
-	if d.chance(0.6) {
+	if d.withProbability(0.6) {
 		series := 1 + d.IntN(4)
 		for n := range series {
-			d.add(scenario.Fault{Kind: "move", At: hundredth(at + float64(n)*d.between(0.15, 0.6)), Targets: []string{"s*"}, Stagger: 0.05})
+			d.addFault(scenario.Fault{Kind: "move", At: roundToHundredth(at + float64(n)*d.uniform(0.15, 0.6)), Targets: []string{"s*"}, Stagger: 0.05})
 		}
 	}
-	if d.chance(0.2) {
-		d.add(scenario.Fault{Kind: "list-late", At: 0.5, Duration: 10, Size: d.between(0.1, 1.5)})
+	if d.withProbability(0.2) {
+		d.addFault(scenario.Fault{Kind: "list-late", At: 0.5, Duration: 10, Size: d.uniform(0.1, 1.5)})
 	}
-	for _, n := range d.drained {
+	for _, n := range d.drainingEndpoints {
 		what := "drain"
-		if d.chance(0.5) {
+		if d.withProbability(0.5) {
 			what = "replace"
 		}
-		d.add(scenario.Fault{Kind: what, At: hundredth(min(at+d.between(-0.5, 1.5), lastFaultSeconds)), Targets: []string{fmt.Sprint("e", n)}})
+		d.addFault(scenario.Fault{Kind: what, At: roundToHundredth(min(at+d.uniform(-0.5, 1.5), lastFaultSeconds)), Targets: []string{fmt.Sprint("e", n)}})
 	}
 }
 
-func (d *drawing) endpointFaults() {
-	for _, f := range []scenario.Fault{{Kind: "hang"}, {Kind: "slow", Size: d.between(2, 8)}, {Kind: "errors", Size: d.between(0.1, 0.7)}, {Kind: "crash"}} {
-		if d.chance(0.4) {
-			f.At, f.Duration, f.Targets = d.time(8), d.between(0.5, 4), d.some("e", d.s.Endpoints[0].Count, 0.4)
+func (d *generator) endpointFaults() {
+	for _, f := range []scenario.Fault{{Kind: "hang"}, {Kind: "slow", Size: d.uniform(2, 8)}, {Kind: "errors", Size: d.uniform(0.1, 0.7)}, {Kind: "crash"}} {
+		if d.withProbability(0.4) {
+			f.At, f.Duration, f.Targets = d.faultTime(8), d.uniform(0.5, 4), d.pickNames("e", d.scenario.Endpoints[0].Count, 0.4)
 			if f.Kind == "crash" {
-				f.Targets = []string{fmt.Sprint("e", d.staying[d.IntN(len(d.staying))])}
+				f.Targets = []string{fmt.Sprint("e", d.stayingEndpoints[d.IntN(len(d.stayingEndpoints))])}
 			}
-			d.add(f)
+			d.addFault(f)
 		}
 	}
 }
 
-func (d *drawing) linkFaults() {
-	for _, f := range []scenario.Fault{{Kind: "cut"}, {Kind: "silent"}, {Kind: "delay", Size: d.between(5, 80)}, {Kind: "jitter", Size: d.between(5, 50)},
-		{Kind: "lose", Size: d.between(0.02, 0.3), Direction: "back"}, {Kind: "reset"}} {
-		if !d.chance(0.25) {
+func (d *generator) linkFaults() {
+	for _, f := range []scenario.Fault{{Kind: "cut"}, {Kind: "silent"}, {Kind: "delay", Size: d.uniform(5, 80)}, {Kind: "jitter", Size: d.uniform(5, 50)},
+		{Kind: "lose", Size: d.uniform(0.02, 0.3), Direction: "back"}, {Kind: "reset"}} {
+		if !d.withProbability(0.25) {
 			continue
 		}
-		f.At, f.Link = d.time(8), "upstream"
-		f.Targets, f.RemoteEndpoints = d.some("s", d.s.Fleet.Sidecars, 0.6), d.some("e", d.s.Endpoints[0].Count, 0.5)
+		f.At, f.Link = d.faultTime(8), "upstream"
+		f.Targets, f.RemoteEndpoints = d.pickNames("s", d.scenario.Fleet.Sidecars, 0.6), d.pickNames("e", d.scenario.Endpoints[0].Count, 0.5)
 		if f.Kind != "reset" {
-			f.Duration = d.between(0.3, 3)
+			f.Duration = d.uniform(0.3, 3)
 		}
-		d.add(f)
+		d.addFault(f)
 	}
-	if d.chance(0.3) {
-		d.add(scenario.Fault{Kind: []string{"cut", "silent"}[d.IntN(2)], Link: "list", At: d.time(6), Duration: d.between(0.5, 3), Targets: d.some("s", d.s.Fleet.Sidecars, 0.5)})
+	if d.withProbability(0.3) {
+		d.addFault(scenario.Fault{Kind: []string{"cut", "silent"}[d.IntN(2)], Link: "list", At: d.faultTime(6), Duration: d.uniform(0.5, 3), Targets: d.pickNames("s", d.scenario.Fleet.Sidecars, 0.5)})
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -15,7 +15,7 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-func program(t *testing.T, tags string) string {
+func buildProgram(t *testing.T, tags string) string {
 	path := filepath.Join(t.TempDir(), "lynxjunction")
 	out, err := exec.Command("go", "build", "-o", path, "-tags", tags, "github.com/lynxjunction/lynxjunction/cmd/lynxjunction").CombinedOutput()
 	require.NoError(t, err, "%s", out)
@@ -44,46 +44,46 @@
 	assert.Len(t, texts, 600)
 }
 
-func keepsAllRules(t *testing.T, program string, seed uint64) {
-	v := (&Player{Program: program}).PlaySeed(t.Context(), seed)
+func checkNoViolations(t *testing.T, program string, seed uint64) {
+	v := (&Runner{Program: program}).RunSeed(t.Context(), seed)
 	defer v.Close()
 	require.NoError(t, v.Err)
-	assert.Greater(t, v.Asked, 1000)
-	for _, b := range v.Broken {
-		t.Errorf("seed %d, %s: %s", seed, b.Rule, b.Story)
+	assert.Greater(t, v.Requests, 1000)
+	for _, b := range v.Violations {
+		t.Errorf("seed %d, %s: %s", seed, b.Rule, b.Details)
 	}
 }
 
 // Where idle clients fill the descriptors, requests wait to be accepted, and the time that they have waited is not known.
-func TestSoakWithCrowds(t *testing.T) {
-	sound := program(t, "")
+func TestSoakWithConnectionFloods(t *testing.T) {
+	healthy := buildProgram(t, "")
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run("sound", func(t *testing.T) {
 			t.Parallel()
-			keepsAllRules(t, sound, seed)
+			checkNoViolations(t, healthy, seed)
 		})
 	}
 }
 
 // A hand-over while discovery is away or its answers are faulty: the new process serves by the list from before.
-func TestSoakWithAHandOver(t *testing.T) { keepsAllRules(t, program(t, ""), 8) }
+func TestSoakWithHandover(t *testing.T) { checkNoViolations(t, buildProgram(t, ""), 8) }
 
 // Fixed seeds keep every rule; a program with a defect does not, and what broke is kept.
 func TestSoak(t *testing.T) {
-	sound, defective := program(t, ""), program(t, "seeded")
+	healthy, defective := buildProgram(t, ""), buildProgram(t, "seeded")
 	for _, seed := range []uint64{6, 10, 11} { // 10 has a discovery with little capacity
 		t.Run("sound", func(t *testing.T) {
 			t.Parallel()
-			keepsAllRules(t, sound, seed)
+			checkNoViolations(t, healthy, seed)
 		})
 	}
-	for defect, rule := range map[string]string{"lost": records.Lost, "deadline": records.Deadlines} {
+	for defect, rule := range map[string]string{"lost": records.RuleNoExchangeLost, "deadline": records.RuleDeadlineWithinTimeLeft} {
 		t.Run("defect "+defect, func(t *testing.T) {
 			t.Parallel()
-			v := (&Player{Program: defective, Env: []string{"LYNXJUNCTION_DEFECT=" + defect}}).PlaySeed(t.Context(), 4)
+			v := (&Runner{Program: defective, Env: []string{"LYNXJUNCTION_DEFECT=" + defect}}).RunSeed(t.Context(), 4)
 			defer v.Close()
 			require.NoError(t, v.Err)
-			assert.Contains(t, v.Rules(), rule)
+			assert.Contains(t, v.BrokenRules(), rule)
 			dir := t.TempDir()
 			require.NoError(t, v.Write(dir))
 			for _, name := range []string{"schedule.toml", "timeline.txt", "s0.log"} {
@@ -99,17 +99,17 @@
 // crowds of half to four times the descriptors, and around hand-overs. On the version before incident 0018 seven of the first eight seeds
 // of crowds broke that, and the rule on deadlines.
 func TestSoakProfiles(t *testing.T) {
-	sound := program(t, "")
+	healthy := buildProgram(t, "")
 	for _, c := range []struct {
 		profile string
 		seed    uint64
 	}{{"crowds", 1}, {"crowds", 8}, {"handovers", 4}, {"handovers", 5}} {
 		t.Run(c.profile, func(t *testing.T) { // one after the other: a crowd is a thousand connections of the test's own
-			v := (&Player{Program: sound, Profile: c.profile}).PlaySeed(t.Context(), c.seed)
+			v := (&Runner{Program: healthy, Profile: c.profile}).RunSeed(t.Context(), c.seed)
 			defer v.Close()
 			require.NoError(t, v.Err)
-			for _, b := range v.Broken {
-				t.Errorf("%s, seed %d, %s: %s", c.profile, c.seed, b.Rule, b.Story)
+			for _, b := range v.Violations {
+				t.Errorf("%s, seed %d, %s: %s", c.profile, c.seed, b.Rule, b.Details)
 			}
 		})
 	}
@@ -143,11 +143,11 @@
 
 // What lists draws has a discovery with little to spare that ends its watches, and between them all that can meet it.
 func TestDrawLists(t *testing.T) {
-	kinds, spoilt, callers := map[string]int{}, map[float64]bool{}, map[int]bool{}
+	kinds, spoilt, sidecarCounts := map[string]int{}, map[float64]bool{}, map[int]bool{}
 	for seed := range uint64(300) {
 		s, err := DrawProfile("lists", seed, false)
 		require.NoError(t, err)
-		callers[s.Fleet.Sidecars] = true
+		sidecarCounts[s.Fleet.Sidecars] = true
 		assert.Equal(t, 500.0, s.Fleet.DrainGrace)
 		seen := map[string]bool{}
 		for _, f := range s.Faults {
@@ -162,7 +162,7 @@
 			kinds[what]++
 		}
 	}
-	assert.Len(t, callers, 29, "12 to 40")
+	assert.Len(t, sidecarCounts, 29, "12 to 40")
 	assert.Len(t, spoilt, 8, "1 to 8 in a row")
 	assert.Equal(t, []int{300, 300}, []int{kinds["list-busy"], kinds["list-ends"]})
 	for _, what := range []string{"list-spoil", "list-off", "move", "upgrade", "drain", "replace"} {
@@ -171,8 +171,8 @@
 }
 
 // What can't be played is no pass.
-func TestNotPlayedIsNoPass(t *testing.T) {
-	v := (&Player{Program: filepath.Join(t.TempDir(), "none")}).PlaySeed(t.Context(), 1)
+func TestFailedRunIsNotAPass(t *testing.T) {
+	v := (&Runner{Program: filepath.Join(t.TempDir(), "none")}).RunSeed(t.Context(), 1)
 	defer v.Close()
 	assert.Error(t, v.Err)
 	assert.True(t, v.Failed())
--- a/internal/virtual/faults.go
+++ b/internal/virtual/faults.go
@@ -44,7 +44,7 @@
 		e.update(func() { e.model.Stop(); e.stopped = true })
 		e.dropAll()
 	case "drain", "replace":
-		sim.book.Out(e.recordNumber, sim.now)
+		sim.book.SetInServiceUntil(e.recordNumber, sim.now)
 		e.state = logic.NotRunning
 		sim.listChanged(e)
 		if f.Kind == "replace" {
@@ -75,7 +75,7 @@
 				if g.arrived && g.endpoint.legsByJob[g.job] == g {
 					e := g.endpoint
 					e.update(func() { delete(e.legsByJob, g.job); e.model.Cancel(g.job) })
-					sim.book.End(g.record, "left", sim.now)
+					sim.book.EndLeg(g.record, "left", sim.now)
 				}
 			}
 		}
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -176,9 +176,9 @@
 
 // Run simulates a scenario with deciders of the given factory and returns the records of clients and endpoints.
 func Run(s *scenario.Scenario, newDecider DeciderFactory) (*records.Book, error) {
-	recordTerms := records.Terms{Grace: 550, Drain: drainGraceMs, Free: s.Fleet.ExtraFree, Ratio: s.Fleet.ExtraRatio, LookBack: s.Fleet.BudgetWindow * 1000}
+	recordTerms := records.Terms{AnswerGraceMs: 550, DrainGraceMs: drainGraceMs, FreeExtraLegs: s.Fleet.ExtraFree, ExtraLegRatio: s.Fleet.ExtraRatio, BudgetWindowMs: s.Fleet.BudgetWindow * 1000}
 	for _, p := range s.Products {
-		recordTerms.Products = append(recordTerms.Products, records.Product{Name: p.Name, Expected: p.ExpectedTime, Abandon: p.AbandonTime,
+		recordTerms.Products = append(recordTerms.Products, records.Product{Name: p.Name, ExpectedMs: p.ExpectedTime, AbandonMs: p.AbandonTime,
 			SingleUse: p.Effect == "single-use", Referenced: p.Effect == "referenced"})
 	}
 	sim := &simulation{
@@ -189,7 +189,7 @@
 		newDecider:     newDecider,
 		settingsByZone: map[string]*fastjson.Value{},
 	}
-	sim.book.Slack = func(sidecar, _ int, _ float64) float64 { return sim.sidecars[sidecar].totalLinkDelay() * 2 }
+	sim.book.LinkSlackMs = func(sidecar, _ int, _ float64) float64 { return sim.sidecars[sidecar].totalLinkDelay() * 2 }
 	for _, p := range s.EndpointNodes() {
 		sim.addEndpoint(p, p.Name, false)
 	}
@@ -249,7 +249,7 @@
 	if cold {
 		started, e.startedAt = sim.now, sim.now+epochMs
 	}
-	e.recordNumber = sim.book.Endpoint(name, sim.now)
+	e.recordNumber = sim.book.AddEndpoint(name, sim.now)
 	e.model = emulator.New(sim.scenario.EmulatorKind(p), sim.scenario.SeedOf(name), started, sim.now)
 	sim.endpoints = append(sim.endpoints, e)
 	sim.currentByName[p.Name], sim.endpointByID[logic.EndpointID(name)] = e, e
@@ -291,7 +291,7 @@
 			}
 			c.decider.Listed(logic.EndpointID(e.name), e.state, c.names.Zone([]byte(e.Zone)), 0, 1, 1, logic.Millis(e.startedAt))
 			if e.state != logic.Running {
-				c.sim.book.Told(c.Number, e.recordNumber, c.sim.now, "listed")
+				c.sim.book.RecordDrain(c.Number, e.recordNumber, c.sim.now, "listed")
 			}
 		}
 		c.knownVersion = c.sim.listVersion
@@ -329,7 +329,7 @@
 	if !d.OK {
 		outcome, outcomeName = logic.Errored, "errored"
 	}
-	e.sim.book.End(g.record, outcomeName, d.At)
+	e.sim.book.EndLeg(g.record, outcomeName, d.At)
 	g.returnOutcome(outcome, true)
 }
 
@@ -343,7 +343,7 @@
 	for _, id := range jobs {
 		g := e.legsByJob[id]
 		delete(e.legsByJob, id)
-		e.sim.book.End(g.record, "cut", e.sim.now)
+		e.sim.book.EndLeg(g.record, "cut", e.sim.now)
 		g.returnOutcome(logic.Reset, false)
 	}
 	for _, c := range e.sim.sidecars {
@@ -392,7 +392,7 @@
 func (x *exchange) answer(status int) {
 	if !x.answered {
 		x.answered = true
-		x.sidecar.sim.book.Answered(x.Exchange, status, "", x.At, x.sidecar.sim.now)
+		x.sidecar.sim.book.RecordAnswer(x.Exchange, status, "", x.DueAt, x.sidecar.sim.now)
 	}
 }
 
@@ -442,8 +442,8 @@
 		return
 	}
 	sim := c.sim
-	x := &exchange{sidecar: c, Exchange: &records.Exchange{ID: a.ID, Sidecar: c.Number, Product: a.Product, Work: a.Work, At: a.At}}
-	sim.book.Ask(x.Exchange)
+	x := &exchange{sidecar: c, Exchange: &records.Exchange{ID: a.ID, Sidecar: c.Number, Product: a.Product, Work: a.Work, DueAt: a.At}}
+	sim.book.AddExchange(x.Exchange)
 	id := logic.ExchangeID(a.ID)
 	c.exchanges[id] = x
 	c.decider.SetNow(logic.Millis(sim.now + epochMs))
@@ -467,7 +467,7 @@
 	g := &leg{exchange: x, number: logic.LegNo(len(x.legs)), sentAt: sim.now}
 	x.legs = append(x.legs, g)
 	g.endpoint = sim.endpointByID[to]
-	timeLeft := x.At + sim.scenario.Products[x.Product].AbandonTime - sim.now
+	timeLeft := x.DueAt + sim.scenario.Products[x.Product].AbandonTime - sim.now
 	if timeout > 0 {
 		timeLeft = min(timeLeft, float64(timeout))
 	}
@@ -499,10 +499,10 @@
 		return
 	}
 	g.arrived = true
-	g.record = &records.Leg{Exchange: g.exchange.ID, Endpoint: e.recordNumber, At: sim.now, Fresh: newConnection, Keyed: true, Work: g.exchange.Work}
-	sim.book.Arrive(g.record)
+	g.record = &records.Leg{Exchange: g.exchange.ID, Endpoint: e.recordNumber, ArrivedAt: sim.now, NewConnection: newConnection, KeyIntact: true, Work: g.exchange.Work}
+	sim.book.AddLeg(g.record)
 	if newConnection {
-		sim.book.Dial(e.recordNumber)
+		sim.book.CountConnection(e.recordNumber)
 	}
 	e.update(func() {
 		e.lastJob++
@@ -515,17 +515,17 @@
 		case emulator.Accepted:
 			e.legsByJob[g.job] = g
 		case emulator.Full:
-			sim.book.End(g.record, "full", sim.now)
+			sim.book.EndLeg(g.record, "full", sim.now)
 			g.returnOutcome(logic.Full, true)
 		case emulator.Failed:
-			sim.book.End(g.record, "failed", sim.now)
+			sim.book.EndLeg(g.record, "failed", sim.now)
 			g.returnOutcome(logic.Errored, true)
 		case emulator.Down:
 			if e.model.Falls > e.fallsRecorded {
 				e.fallsRecorded = e.model.Falls
-				sim.book.Fell(e.recordNumber, sim.now)
+				sim.book.RecordCollapse(e.recordNumber, sim.now)
 			}
-			sim.book.End(g.record, "cut", sim.now)
+			sim.book.EndLeg(g.record, "cut", sim.now)
 			g.returnOutcome(logic.Reset, false)
 			e.dropAll()
 		}
@@ -545,7 +545,7 @@
 					delete(e.legsByJob, g.job)
 					e.model.Cancel(g.job)
 				})
-				sim.book.End(g.record, "left", sim.now)
+				sim.book.EndLeg(g.record, "left", sim.now)
 			}
 		})
 	}
--- a/internal/virtual/virtual_test.go
+++ b/internal/virtual/virtual_test.go
@@ -101,7 +101,7 @@
 	book, err := Run(s, newDecider)
 	require.NoError(t, err)
 	b := strings.Builder{}
-	fmt.Fprint(&b, book.Lines(s.Length*1000, 250), book.Service(0, s.Length*1000, -1), book.Dialled, book.Check())
+	fmt.Fprint(&b, book.FiguresByWindow(s.Length*1000, 250), book.Service(0, s.Length*1000, -1), book.ConnectionCounts, book.Check())
 	return book, b.String()
 }
 
@@ -131,12 +131,12 @@
 	for seed := range uint64(10) {
 		book, _ := runAndReport(t, parseScenario(t, scenarioText(12, 20, 12, 8, mixedFaults), seed+1), NewModule)
 		for _, b := range book.Check() {
-			t.Errorf("seed %d: %s: %s", seed+1, b.Rule, b.Story)
+			t.Errorf("seed %d: %s: %s", seed+1, b.Rule, b.Details)
 		}
 		other, _ := runAndReport(t, parseScenario(t, scenarioText(12, 20, 12, 8, mixedFaults), seed+1), Baselines["random"])
 		ours, random := book.Service(0, 8000, -1), other.Service(0, 8000, -1)
 		assert.Greater(t, ours.InTime, random.InTime, "seed %d", seed+1)
-		assert.Equal(t, ours.Asked, random.Asked, "both policies get the same arrivals")
+		assert.Equal(t, ours.Requests, random.Requests, "both policies get the same arrivals")
 	}
 }
 
@@ -153,15 +153,15 @@
 		require.NoError(t, err)
 		for _, from := range []float64{2000, 12000} {
 			v := book.Spread(from, from+8000, 8000, 1)
-			assert.Greater(t, v.Jain, 0.97, "seed %d from %.0f: %+v", seed+1, from, v)
-			assert.Zero(t, v.Idle)
+			assert.Greater(t, v.JainIndex, 0.97, "seed %d from %.0f: %+v", seed+1, from, v)
+			assert.Zero(t, v.IdleShare)
 		}
 		book, err = Run(s, func(t logic.Terms, out logic.Outgoing, now logic.Millis) Decider {
 			t.SidecarNumber = -1
 			return logic.New(t, out, now)
 		})
 		require.NoError(t, err)
-		assert.Greater(t, book.Spread(2000, 10000, 8000, 1).Jain, 0.85, "sidecars without numbers must not all use the same endpoints")
+		assert.Greater(t, book.Spread(2000, 10000, 8000, 1).JainIndex, 0.85, "sidecars without numbers must not all use the same endpoints")
 	}
 }
 
@@ -174,7 +174,7 @@
 	book, err := Run(parseScenario(t, all, 1), NewModule)
 	require.NoError(t, err)
 	shares, total := [3]float64{}, 0.0
-	for n, c := range book.Counts(10000, 40000) {
+	for n, c := range book.ArrivalCounts(10000, 40000) {
 		shares[n%3] += c
 		total += c
 	}
@@ -190,8 +190,8 @@
 		s := parseScenario(t, scenarioText(1, 400, 12, 10, ""), 3)
 		book, _ := runAndReport(t, s, newDecider)
 		v := book.Service(0, 10000, -1)
-		assert.Greater(t, float64(v.Satisfied), 0.97*float64(v.Asked), "%s: %+v", name, v)
-		held[name] = book.MostHeld(0, 10000)
+		assert.Greater(t, float64(v.Succeeded), 0.97*float64(v.Requests), "%s: %+v", name, v)
+		held[name] = book.MaxConcurrentLegs(0, 10000)
 	}
 	assert.Greater(t, held["random"], held["two choices"])
 	assert.GreaterOrEqual(t, held["two choices"], held["least in hand"])
