--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -136,20 +136,20 @@
 var errRuleViolated = errors.New("a rule was broken")
 
 // run plays one scenario, prints what it showed and writes the report.
-func (h *runOptions) run(c *cobra.Command, s *scenario.Scenario, text []byte, name string) error {
-	if h.seed > 0 {
-		s.Seed = h.seed
+func (opts *runOptions) run(c *cobra.Command, s *scenario.Scenario, text []byte, name string) error {
+	if opts.seed > 0 {
+		s.Seed = opts.seed
 	}
-	out := h.outDir
+	out := opts.outDir
 	if out == "" {
 		out = filepath.Join("found", name+"-"+time.Now().Format("20060102T150405"))
 	}
-	report := progress(c.ErrOrStderr())
-	h.keepOnViolation = true
-	book, result, err := h.execute(c.Context(), s, report)
+	logProgress := newProgressLogger(c.ErrOrStderr())
+	opts.keepOnViolation = true
+	book, result, err := opts.execute(c.Context(), s, logProgress)
 	defer func() {
-		if h.keptDir != "" {
-			fmt.Fprintln(c.OutOrStdout(), "start files and logs:", h.keptDir)
+		if opts.keptDir != "" {
+			fmt.Fprintln(c.OutOrStdout(), "start files and logs:", opts.keptDir)
 		}
 	}()
 	if book == nil {
@@ -157,10 +157,10 @@
 	}
 	r := buildReport(s, book, result)
 	r.Scenario = string(text)
-	if h.keptDir != "" {
-		r.Facts = append(r.Facts, [2]string{"start files and logs", h.keptDir})
+	if opts.keptDir != "" {
+		r.Facts = append(r.Facts, [2]string{"start files and logs", opts.keptDir})
 	}
-	r.Facts = append([][2]string{{"seed", fmt.Sprint(s.Seed)}, {"revision", revision()}, {"program", h.targetLabel()}}, r.Facts...)
+	r.Facts = append([][2]string{{"seed", fmt.Sprint(s.Seed)}, {"revision", revision()}, {"program", opts.targetLabel()}}, r.Facts...)
 	if err != nil {
 		r.Verdict = "FAILED: " + strings.SplitN(err.Error(), "\n", 2)[0]
 	}
@@ -188,40 +188,40 @@
 	return err
 }
 
-func (h *runOptions) targetLabel() string {
-	if h.virtual {
-		return h.policy + ", virtual time"
+func (opts *runOptions) targetLabel() string {
+	if opts.virtual {
+		return opts.policy + ", virtual time"
 	}
-	return filepath.Base(h.program) + ", processes on loopback"
+	return filepath.Base(opts.program) + ", processes on loopback"
 }
 
 // play returns the accounts. With processes, start files and logs go to a folder that is removed when all went well, and in a
 // comparison when rules were broken.
-func (h *runOptions) execute(ctx context.Context, s *scenario.Scenario, progress func(float64, string)) (*records.Book, *rig.Result, error) {
-	if h.virtual {
-		newPolicy := virtual.Baselines[h.policy]
+func (opts *runOptions) execute(ctx context.Context, s *scenario.Scenario, logProgress func(float64, string)) (*records.Book, *rig.Result, error) {
+	if opts.virtual {
+		newPolicy := virtual.Baselines[opts.policy]
 		if newPolicy == nil {
-			return nil, nil, fmt.Errorf("--policy: %q is none of %s", h.policy, policies())
+			return nil, nil, fmt.Errorf("--policy: %q is none of %s", opts.policy, policies())
 		}
 		startedAt := time.Now()
 		book, err := virtual.Run(s, newPolicy)
 		if err == nil {
-			progress(s.Length*1000, fmt.Sprintf("%.0f times faster than the clock", s.Length/time.Since(startedAt).Seconds()))
+			logProgress(s.Length*1000, fmt.Sprintf("%.0f times faster than the clock", s.Length/time.Since(startedAt).Seconds()))
 		}
 		return book, nil, err
 	}
-	if _, err := os.Stat(h.program); err != nil {
+	if _, err := os.Stat(opts.program); err != nil {
 		return nil, nil, fmt.Errorf("--program: %w (build it first: go build -o bin/ ./cmd/...)", err)
 	}
 	dir, err := os.MkdirTemp("", "lab-")
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &rig.Rig{Program: h.program, Other: h.upgradeProgram, Dir: dir, Say: progress}
+	r := &rig.Rig{Program: opts.program, Other: opts.upgradeProgram, Dir: dir, Say: logProgress}
 	result, err := r.Run(ctx, s)
-	if err != nil || h.keepAlways || h.keepOnViolation && len(result.Broken) > 0 {
-		h.keptDir = dir
-		progress(0, "start files and logs: "+dir)
+	if err != nil || opts.keepAlways || opts.keepOnViolation && len(result.Broken) > 0 {
+		opts.keptDir = dir
+		logProgress(0, "start files and logs: "+dir)
 	} else {
 		os.RemoveAll(dir)
 	}
@@ -232,7 +232,7 @@
 }
 
 // progress speaks to a terminal, and is silent in a pipe.
-func progress(w io.Writer) func(float64, string) {
+func newProgressLogger(w io.Writer) func(float64, string) {
 	f, ok := w.(*os.File)
 	if !ok {
 		return func(float64, string) {}
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -87,8 +87,8 @@
 	if !slices.Contains(soak.Profiles(), f.profile) {
 		return usageError{fmt.Errorf("--profile: %q is none of %s", f.profile, strings.Join(soak.Profiles(), ", "))}
 	}
-	report := progress(c.ErrOrStderr())
-	runner := &soak.Runner{Program: f.program, Large: f.large, Profile: f.profile, Progress: func(text string) { report(0, text) }}
+	logProgress := newProgressLogger(c.ErrOrStderr())
+	runner := &soak.Runner{Program: f.program, Large: f.large, Profile: f.profile, Progress: func(text string) { logProgress(0, text) }}
 	seeds, failed := make(chan uint64), 0
 	var mu sync.Mutex
 	var workers sync.WaitGroup
@@ -122,23 +122,23 @@
 }
 
 // playOne plays a seed; one that breaks a rule is reduced and kept.
-func (f *soakFlags) runSeed(ctx context.Context, p *soak.Runner, seed uint64) soakLine {
-	v := p.RunSeed(ctx, seed)
-	if f.reduce && v.Failed() && v.Err == nil {
-		v = p.Reduce(ctx, v)
+func (f *soakFlags) runSeed(ctx context.Context, runner *soak.Runner, seed uint64) soakLine {
+	result := runner.RunSeed(ctx, seed)
+	if f.reduce && result.Failed() && result.Err == nil {
+		result = runner.Reduce(ctx, result)
 	}
-	defer v.Close()
-	line := soakLine{Seed: seed, Requests: v.Requests, BrokenRules: v.BrokenRules()}
-	if v.Err != nil {
-		line.Error = strings.SplitN(v.Err.Error(), "\n", 2)[0]
+	defer result.Close()
+	line := soakLine{Seed: seed, Requests: result.Requests, BrokenRules: result.BrokenRules()}
+	if result.Err != nil {
+		line.Error = strings.SplitN(result.Err.Error(), "\n", 2)[0]
 	}
-	if v.Scenario == nil {
+	if result.Scenario == nil {
 		return line
 	}
-	line.Faults = len(v.Scenario.Faults)
-	if v.Failed() {
+	line.Faults = len(result.Scenario.Faults)
+	if result.Failed() {
 		dir := filepath.Join(f.outDir, fmt.Sprint("soak-", seed))
-		if err := v.Write(dir); err != nil {
+		if err := result.Write(dir); err != nil {
 			line.Error = strings.TrimSpace(line.Error + " " + err.Error())
 		}
 		line.Schedule = filepath.Join(dir, "schedule.toml")
--- a/cmd/lab/summary.go
+++ b/cmd/lab/summary.go
@@ -43,29 +43,29 @@
 	if len(violations) > 0 {
 		r.Verdict = fmt.Sprintf("BROKEN: %d times, first: %s", len(violations), violations[0].Rule)
 	}
-	sendDelayP99, most := book.HarnessSendDelay(99), book.HarnessSendDelay(100)
-	if sendDelayP99 > maxSendDelayMs || most > 20*maxSendDelayMs {
-		r.Verdict += fmt.Sprintf("; the machine was too busy: clients were late by %.0f ms (p99), %.0f at most, so believe no wait", sendDelayP99, most)
+	sendDelayP99, maxSendDelay := book.HarnessSendDelay(99), book.HarnessSendDelay(100)
+	if sendDelayP99 > maxSendDelayMs || maxSendDelay > 20*maxSendDelayMs {
+		r.Verdict += fmt.Sprintf("; the machine was too busy: clients were late by %.0f ms (p99), %.0f at most, so believe no wait", sendDelayP99, maxSendDelay)
 	}
 	all := book.Service(0, s.Length*1000+1, -1)
 	r.Facts = [][2]string{{"sidecars, endpoints", fmt.Sprintf("%d, %d", s.Fleet.Sidecars, len(s.EndpointNodes()))}, {"length", fmt.Sprintf("%g s", s.Length)},
-		{"exchanges", fmt.Sprint(all.Requests)}, {"the rehearsal's own lateness", fmt.Sprintf("%.1f ms (p99), %.0f ms at most", sendDelayP99, most)}}
+		{"exchanges", fmt.Sprint(all.Requests)}, {"the rehearsal's own lateness", fmt.Sprintf("%.1f ms (p99), %.0f ms at most", sendDelayP99, maxSendDelay)}}
 	r.Tables = append(r.Tables, serviceTable(s, book), spreadTable(s, book))
-	if out := book.DrainSummaries(); len(out) > 0 {
+	if drains := book.DrainSummaries(); len(drains) > 0 {
 		t := report.Table{Name: "out", Title: "Endpoints that sidecars were told to leave alone", Head: []string{"endpoint", "how", "told", "first s", "last s", "still sending", "legs"}}
-		for _, o := range out {
+		for _, o := range drains {
 			t.Rows = append(t.Rows, []string{o.Endpoint, o.Source, fmt.Sprint(o.Notified), report.FormatFloat(o.FirstNotifiedAt/1000, 1), report.FormatFloat(o.LastNotifiedAt/1000, 1), fmt.Sprint(o.LateSenders), fmt.Sprint(o.LateLegs)})
 		}
 		r.Tables = append(r.Tables, t)
 	}
 	if result != nil {
 		r.Facts = append(r.Facts, [2]string{"all up after", result.UpTook.String()})
-		peak, cpu, most := 0, 0.0, 0
+		peak, cpu, maxSendDelay := 0, 0.0, 0
 		for _, u := range result.Usage {
-			peak, cpu, most = max(peak, u.PeakKB), cpu+u.CPUms, max(most, u.Descriptors)
+			peak, cpu, maxSendDelay = max(peak, u.PeakKB), cpu+u.CPUms, max(maxSendDelay, u.Descriptors)
 		}
 		r.Facts = append(r.Facts, [2]string{"processes started", fmt.Sprint(len(result.Usage))}, [2]string{"memory of the largest", fmt.Sprintf("%d MB", peak>>10)},
-			[2]string{"processor time of all", fmt.Sprintf("%.1f s", cpu/1000)}, [2]string{"most descriptors of one", fmt.Sprint(most)})
+			[2]string{"processor time of all", fmt.Sprintf("%.1f s", cpu/1000)}, [2]string{"most descriptors of one", fmt.Sprint(maxSendDelay)})
 		for _, e := range result.Events {
 			r.Events = append(r.Events, fmt.Sprintf("%.1f s: %s", e.At/1000, e.Text))
 		}
@@ -139,11 +139,11 @@
 
 // lines are the windows of a second, as a table and as charts.
 func addWindows(s *scenario.Scenario, book *records.Book, r *report.Report) {
-	w := report.Table{Name: "windows", Title: "Each second", Head: []string{"from s", "asked", "in time", "dismissed", "failed", "p50 ms", "p99 ms"}}
-	e := report.Table{Name: "endpoints", Title: "Arrivals at each endpoint, by second", Head: append([]string{"from s"}, book.EndpointNames...)}
+	windowTable := report.Table{Name: "windows", Title: "Each second", Head: []string{"from s", "asked", "in time", "dismissed", "failed", "p50 ms", "p99 ms"}}
+	endpointTable := report.Table{Name: "endpoints", Title: "Arrivals at each endpoint, by second", Head: append([]string{"from s"}, book.EndpointNames...)}
 	service := report.Chart{Name: "service", Title: "Exchanges a second", X: "s", Y: "exchanges",
 		Lines: []report.Line{{Name: "asked"}, {Name: "in time"}, {Name: "dismissed"}, {Name: "failed"}}}
-	waits := report.Chart{Name: "waits", Title: "Waits of the satisfied", X: "s", Y: "ms", Lines: []report.Line{{Name: "p50"}, {Name: "p99"}}}
+	latencies := report.Chart{Name: "waits", Title: "Waits of the satisfied", X: "s", Y: "ms", Lines: []report.Line{{Name: "p50"}, {Name: "p99"}}}
 	arrivals := report.Chart{Name: "arrivals", Title: "Arrivals at each endpoint", X: "s", Y: "a second"}
 	for _, name := range book.EndpointNames {
 		if len(book.EndpointNames) > 12 {
@@ -156,19 +156,19 @@
 	}
 	for _, l := range book.FiguresByWindow(s.Length*1000, 1000) {
 		at := l.From / 1000
-		w.Rows = append(w.Rows, []string{fmt.Sprint(at), fmt.Sprint(l.Requests), fmt.Sprint(l.InTime), fmt.Sprint(l.Shed), fmt.Sprint(l.Failed), report.FormatFloat(l.P50Ms, 1), report.FormatFloat(l.P99Ms, 1)})
+		windowTable.Rows = append(windowTable.Rows, []string{fmt.Sprint(at), fmt.Sprint(l.Requests), fmt.Sprint(l.InTime), fmt.Sprint(l.Shed), fmt.Sprint(l.Failed), report.FormatFloat(l.P50Ms, 1), report.FormatFloat(l.P99Ms, 1)})
 		row := []string{fmt.Sprint(at)}
 		for n, c := range l.ArrivalCounts {
 			row = append(row, report.FormatFloat(c, 0))
 			add(&arrivals, n, at, c)
 		}
-		e.Rows = append(e.Rows, row)
+		endpointTable.Rows = append(endpointTable.Rows, row)
 		for n, v := range []int{l.Requests, l.InTime, l.Shed, l.Failed + l.Excused} {
 			add(&service, n, at, float64(v))
 		}
-		add(&waits, 0, at, l.P50Ms)
-		add(&waits, 1, at, l.P99Ms)
+		add(&latencies, 0, at, l.P50Ms)
+		add(&latencies, 1, at, l.P99Ms)
 	}
-	r.Tables = append(r.Tables, w, e)
-	r.Charts = append(r.Charts, service, waits, arrivals)
+	r.Tables = append(r.Tables, windowTable, endpointTable)
+	r.Charts = append(r.Charts, service, latencies, arrivals)
 }
--- a/cmd/lynxjunction/drain_lease_test.go
+++ b/cmd/lynxjunction/drain_lease_test.go
@@ -438,23 +438,23 @@
 func newLeaseQueue() *callqueue.Queue { return callqueue.New(queuedCallWork, 0, callqueue.Wait) }
 
 func delayedCallAfterEndedWatch(trial *leaseTrial) {
-	var queued, held, handed, termedEarly []*leaseSidecar
+	var queued, blocked, handedOver, termedEarly []*leaseSidecar
 	for _, fleet := range []int{1, 40} {
-		start := func(what string, crowded bool) *leaseSidecar {
+		start := func(what string, withQueue bool) *leaseSidecar {
 			var queue *callqueue.Queue
-			if crowded {
+			if withQueue {
 				queue = newLeaseQueue()
 			}
 			return trial.startSidecar(fmt.Sprintf("%s, fleet of %d", what, fleet), fleet, queue)
 		}
 		queued = append(queued, start("a queue", true))
-		held = append(held, start("answers together", false))
-		handed = append(handed, start("a queue and a hand-over", true))
+		blocked = append(blocked, start("answers together", false))
+		handedOver = append(handedOver, start("a queue and a hand-over", true))
 		termedEarly = append(termedEarly, start("a queue and a hand-over before any list", true))
 	}
 	trial.begin()
 	gates := []chan struct{}{}
-	for _, s := range held {
+	for _, s := range blocked {
 		gates = append(gates, s.discoveries[0].blockCalls())
 	}
 	ended := trial.endWatchesWithDrain()
@@ -464,27 +464,27 @@
 		}
 	})
 	time.Sleep(time.Until(ended.Add(500 * time.Millisecond)))
-	for _, s := range slices.Concat(handed, termedEarly) {
+	for _, s := range slices.Concat(handedOver, termedEarly) {
 		s.startSuccessor()
 	}
 	time.Sleep(time.Until(ended.Add(1500 * time.Millisecond)))
 	for _, s := range termedEarly {
 		s.terminateFirst()
 	}
-	for _, s := range handed {
+	for _, s := range handedOver {
 		s.awaitSecondReady()
 		s.terminateFirst()
 	}
-	heard := ended.Add(queuedCallWait + 2*settleTime)
-	if settled := time.Now().Add(2 * settleTime); settled.After(heard) {
-		heard = settled // the hand-overs took longer
+	receivedBy := ended.Add(queuedCallWait + 2*settleTime)
+	if settled := time.Now().Add(2 * settleTime); settled.After(receivedBy) {
+		receivedBy = settled // the hand-overs took longer
 	}
-	over := heard.Add(2 * time.Second)
-	time.Sleep(time.Until(over.Add(leaseTimeout + answerGrace)))
+	trialEnd := receivedBy.Add(2 * time.Second)
+	time.Sleep(time.Until(trialEnd.Add(leaseTimeout + answerGrace)))
 	for _, s := range trial.sidecars {
 		s.expectDrainKept(ended, notifiedAfterEnd, s.discoveries[0])
-		s.expectAnswered(ended, over)
-		s.expectServed(heard, over)
+		s.expectAnswered(ended, trialEnd)
+		s.expectServed(receivedBy, trialEnd)
 		s.awaitVersion(2)
 	}
 }
@@ -532,23 +532,23 @@
 	}
 	trial.begin()
 	gates := []chan struct{}{}
-	fell := time.Now()
+	silencedAt := time.Now()
 	for _, s := range trial.sidecars {
 		gates = append(gates, s.discoveries[0].blockCalls())
 		s.discoveries[0].set(s.list(2, false))
 		s.discoveries[0].silenceWatches()
 	}
-	time.Sleep(time.Until(fell.Add(answered)))
+	time.Sleep(time.Until(silencedAt.Add(answered)))
 	for _, gate := range gates {
 		close(gate)
 	}
-	heard := fell.Add(answered + settleTime)
-	over := heard.Add(time.Second)
-	time.Sleep(time.Until(over.Add(leaseTimeout + answerGrace)))
+	receivedBy := silencedAt.Add(answered + settleTime)
+	trialEnd := receivedBy.Add(time.Second)
+	time.Sleep(time.Until(trialEnd.Add(leaseTimeout + answerGrace)))
 	for _, s := range trial.sidecars {
-		s.expectDrainKept(fell, notifiedAfterReturn, s.discoveries[0])
-		s.expectAnswered(fell, over)
-		s.expectServed(heard, over)
+		s.expectDrainKept(silencedAt, notifiedAfterReturn, s.discoveries[0])
+		s.expectAnswered(silencedAt, trialEnd)
+		s.expectServed(receivedBy, trialEnd)
 		s.awaitVersion(2)
 	}
 }
@@ -589,11 +589,11 @@
 				}
 				trial.begin()
 				happened, discovery := event.play(trial)
-				over := happened.Add(event.notified + drainGrace + lateRequestWindow)
-				time.Sleep(time.Until(over.Add(leaseTimeout + answerGrace)))
+				trialEnd := happened.Add(event.notified + drainGrace + lateRequestWindow)
+				time.Sleep(time.Until(trialEnd.Add(leaseTimeout + answerGrace)))
 				for _, s := range trial.sidecars {
 					s.expectDrainKept(happened, event.notified, s.discoveries[discovery])
-					s.expectAnswered(happened, over)
+					s.expectAnswered(happened, trialEnd)
 				}
 			})
 		})
--- a/cmd/lynxjunction/fleet_test.go
+++ b/cmd/lynxjunction/fleet_test.go
@@ -74,14 +74,14 @@
 func TestIdleClientsExhaustDescriptors(t *testing.T) {
 	gate := make(chan bool)
 	w := &testEnv{T: t}
-	at := w.serve(func(rw http.ResponseWriter, r *http.Request) {
+	endpoint := w.serve(func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/look/held" {
 			<-gate
 		}
 		io.WriteString(rw, "hello")
 	})
 	listen, discovery := freePort(t), freePort(t)
-	startSidecar(t, "ulimit -n 128;", startFile(t, t.TempDir(), listen, discovery, endpointList(1, at), 512, 300))
+	startSidecar(t, "ulimit -n 128;", startFile(t, t.TempDir(), listen, discovery, endpointList(1, endpoint), 512, 300))
 	require.Eventually(t, func() bool { s, _ := get(listen, "/up"); return s == 200 }, 10*time.Second, 10*time.Millisecond)
 	request := func(id, path string) (net.Conn, string) {
 		c, err := net.Dial("tcp", listen)
@@ -91,8 +91,8 @@
 	}
 	held, text := request("held", "/look/held")
 	io.WriteString(held, text)
-	over := make(chan bool)
-	defer close(over)
+	done := make(chan bool)
+	defer close(done)
 	for n := range 200 {
 		_, text := request(fmt.Sprint("idle", n), "/look/x")
 		go func() { // who is sent away comes again, so that they are never fewer
@@ -115,7 +115,7 @@
 				select {
 				case <-ended:
 					c.Close()
-				case <-over:
+				case <-done:
 					c.Close()
 					return
 				}
@@ -130,7 +130,7 @@
 	require.NoError(t, err)
 	back := time.Now()
 	srv := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		io.WriteString(rw, endpointList(7, at)+"\n")
+		io.WriteString(rw, endpointList(7, endpoint)+"\n")
 		rw.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})}
@@ -161,7 +161,7 @@
 func TestFleetRestartWhileDiscoveryIsBusy(t *testing.T) {
 	const processes, down, maxQueueWait, callWork = 30, 5 * time.Second, time.Second, 50 * time.Millisecond
 	w := &testEnv{T: t}
-	at := w.serve(func(rw http.ResponseWriter, r *http.Request) { io.WriteString(rw, "hello") })
+	endpoint := w.serve(func(rw http.ResponseWriter, r *http.Request) { io.WriteString(rw, "hello") })
 	began, callMu := time.Now(), sync.Mutex{}
 	discovery := w.serve(func(rw http.ResponseWriter, r *http.Request) {
 		came := time.Now()
@@ -173,7 +173,7 @@
 		}
 		time.Sleep(callWork)
 		callMu.Unlock()
-		io.WriteString(rw, endpointList(7, at)+"\n")
+		io.WriteString(rw, endpointList(7, endpoint)+"\n")
 		rw.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
--- a/cmd/lynxjunction/main_test.go
+++ b/cmd/lynxjunction/main_test.go
@@ -72,7 +72,7 @@
 
 // SIGHUP must never end the process: it reads its file anew, again and again, also near SIGTERM.
 func TestSignals(t *testing.T) {
-	path, asked := filepath.Join(t.TempDir(), "start"), make(chan string)
+	path, calls := filepath.Join(t.TempDir(), "start"), make(chan string)
 	discoveries := []string{}
 	for range 2 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,7 +87,7 @@
 					return
 				}
 				defer c.Close()
-				asked <- addr
+				calls <- addr
 			}
 		}()
 	}
@@ -106,7 +106,7 @@
 		} else {
 			require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 		}
-		assert.Equal(t, discoveries[n%2], <-asked)
+		assert.Equal(t, discoveries[n%2], <-calls)
 	}
 	write("{")
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
--- a/cmd/lynxjunction/upgrade_test.go
+++ b/cmd/lynxjunction/upgrade_test.go
@@ -194,34 +194,34 @@
 // is half through comes whole, and only the old process ends.
 func TestUpgrades(t *testing.T) {
 	w := newTestEnv(t)
-	now := w.start()
-	now.awaitReady()
+	current := w.start()
+	current.awaitReady()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	type outcome struct {
 		asked int64
 		wrong []string
 	}
-	over := make(chan outcome, 1)
+	loadResult := make(chan outcome, 1)
 	go func() {
 		asked, wrong := w.load(ctx)
-		over <- outcome{asked, wrong}
+		loadResult <- outcome{asked, wrong}
 	}()
 	for round := range 2 {
 		q, _ := http.NewRequest("GET", "http://"+w.listen+"/look/long", nil)
 		q.Header = http.Header{"Request-Id": {fmt.Sprint("long", round)}, "Request-Class": {"look"}, "Request-Timeout": {"2400m"}}
 		got, err := (&http.Client{Transport: &http.Transport{}}).Do(q)
 		require.NoError(t, err)
-		came := make(chan int64, 1)
+		received := make(chan int64, 1)
 		go func() {
 			n, _ := io.Copy(io.Discard, got.Body)
-			came <- n
+			received <- n
 		}()
 		time.Sleep(200 * time.Millisecond)
 		next := w.start()
-		status := now.postUntilAccepted("/endpoints/s0/maint")
+		status := current.postUntilAccepted("/endpoints/s0/maint")
 		assert.Equal(t, 200, status, "at the old one, while the new one starts")
-		for _, p := range []*process{now, next} {
+		for _, p := range []*process{current, next} {
 			require.Eventually(t, func() bool { status, _ := p.callConsole("GET", "/healthcheck"); return status > 0 }, 6*time.Second, time.Millisecond)
 			p.Process.Signal(syscall.SIGHUP) // a new configuration in the middle of it
 		}
@@ -230,21 +230,21 @@
 			status = next.postUntilAccepted("/endpoints/s0/ready")
 			assert.Equal(t, 200, status, "a single call ends it, at the new one")
 		}
-		now.terminate(6 * time.Second)
-		assert.EqualValues(t, 8<<20, <-came, "half through when the old one was told to end")
-		now = next
+		current.terminate(6 * time.Second)
+		assert.EqualValues(t, 8<<20, <-received, "half through when the old one was told to end")
+		current = next
 		before := w.requestCounts[0].Load()
 		time.Sleep(300 * time.Millisecond)
 		assert.Equal(t, round > 0, w.requestCounts[0].Load() > before, "out stays out, back is back")
 	}
 	stop()
-	o := <-over
+	o := <-loadResult
 	assert.Empty(t, o.wrong)
-	_, text := now.callConsole("GET", "/stats")
+	_, text := current.callConsole("GET", "/stats")
 	assert.Contains(t, text, `"in_flight":0`)
-	status, _ := now.callConsole("POST", "/endpoints/never/maint")
+	status, _ := current.callConsole("POST", "/endpoints/never/maint")
 	assert.Equal(t, 404, status)
-	now.terminate(6 * time.Second)
+	current.terminate(6 * time.Second)
 }
 
 // A new process that dies, or that never says yes, leaves the old one serving; an old one that is killed costs no more
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -396,24 +396,24 @@
 	if b.BudgetWindowMs <= 0 {
 		return nil
 	}
-	taken, extra := map[int][]float64{}, map[int][]*Leg{}
+	exchangeTimes, extraLegs := map[int][]float64{}, map[int][]*Leg{}
 	for _, x := range b.exchangesInOrder {
-		taken[x.Sidecar] = append(taken[x.Sidecar], x.DueAt)
+		exchangeTimes[x.Sidecar] = append(exchangeTimes[x.Sidecar], x.DueAt)
 		slices.SortFunc(x.legs, func(a, o *Leg) int { return cmp.Compare(a.ArrivedAt, o.ArrivedAt) })
 		for n, l := range x.legs {
 			if n > 0 {
-				extra[x.Sidecar] = append(extra[x.Sidecar], l)
+				extraLegs[x.Sidecar] = append(extraLegs[x.Sidecar], l)
 			}
 		}
 	}
-	for s, legs := range extra {
+	for s, legs := range extraLegs {
 		slices.SortFunc(legs, func(a, o *Leg) int { return cmp.Compare(a.ArrivedAt, o.ArrivedAt) })
 		for n, l := range legs {
 			used, exchangeCount := 0, 0
 			for k := n; k >= 0 && legs[k].ArrivedAt > l.ArrivedAt-b.BudgetWindowMs+windowSlackMs; k-- {
 				used++
 			}
-			for _, at := range taken[s] {
+			for _, at := range exchangeTimes[s] {
 				if at > l.ArrivedAt-b.BudgetWindowMs-windowSlackMs && at <= l.ArrivedAt {
 					exchangeCount++
 				}
--- a/internal/records/spread.go
+++ b/internal/records/spread.go
@@ -197,20 +197,20 @@
 		endpoint int
 		how      string
 	}
-	seen, until := map[key]*DrainSummary{}, map[key]float64{}
+	summaries, until := map[key]*DrainSummary{}, map[key]float64{}
 	for k, list := range b.drains {
 		for _, d := range list {
-			o := seen[key{k[1], d.reason}]
+			o := summaries[key{k[1], d.reason}]
 			if o == nil {
 				o = &DrainSummary{Endpoint: b.EndpointNames[k[1]], Source: d.reason, FirstNotifiedAt: d.from, LastNotifiedAt: d.from}
-				seen[key{k[1], d.reason}], until[key{k[1], d.reason}] = o, math.Inf(1)
+				summaries[key{k[1], d.reason}], until[key{k[1], d.reason}] = o, math.Inf(1)
 			}
 			o.Notified++
 			o.FirstNotifiedAt, o.LastNotifiedAt = min(o.FirstNotifiedAt, d.from), max(o.LastNotifiedAt, d.from)
 			until[key{k[1], d.reason}] = min(until[key{k[1], d.reason}], d.to) // then it comes back
 		}
 	}
-	for k, o := range seen {
+	for k, o := range summaries {
 		senders := map[int]bool{}
 		for _, l := range b.legs {
 			if l.Endpoint == k.endpoint && l.ArrivedAt > o.LastNotifiedAt+b.DrainGraceMs && l.ArrivedAt < until[k] && l.exchange != nil {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -38,8 +38,8 @@
 }
 
 // Rules are the names of the rules that were broken, each once.
-func (v *Result) BrokenRules() (names []string) {
-	for _, b := range v.Violations {
+func (r *Result) BrokenRules() (names []string) {
+	for _, b := range r.Violations {
 		if !slices.Contains(names, b.Rule) {
 			names = append(names, b.Rule)
 		}
@@ -48,51 +48,51 @@
 }
 
 // Failed tells that a rule was broken or the seed could not be played.
-func (v *Result) Failed() bool { return v.Err != nil || len(v.Violations) > 0 }
+func (r *Result) Failed() bool { return r.Err != nil || len(r.Violations) > 0 }
 
 // Close removes start files and logs.
-func (v *Result) Close() { os.RemoveAll(v.dir) }
+func (r *Result) Close() { os.RemoveAll(r.dir) }
 
 // PlaySeed draws a seed's rehearsal and plays it.
-func (p *Runner) RunSeed(ctx context.Context, seed uint64) *Result {
-	s, err := DrawProfile(p.Profile, seed, p.Large)
+func (r *Runner) RunSeed(ctx context.Context, seed uint64) *Result {
+	s, err := DrawProfile(r.Profile, seed, r.Large)
 	if err != nil {
 		return &Result{Seed: seed, Err: fmt.Errorf("seed %d draws no rehearsal: %w", seed, err)}
 	}
-	return p.Run(ctx, s)
+	return r.Run(ctx, s)
 }
 
 // Play plays a rehearsal.
-func (p *Runner) Run(ctx context.Context, s *scenario.Scenario) *Result {
-	v := &Result{Seed: s.Seed, Scenario: s}
-	if v.dir, v.Err = os.MkdirTemp("", "soak-"); v.Err != nil {
-		return v
+func (r *Runner) Run(ctx context.Context, s *scenario.Scenario) *Result {
+	result := &Result{Seed: s.Seed, Scenario: s}
+	if result.dir, result.Err = os.MkdirTemp("", "soak-"); result.Err != nil {
+		return result
 	}
-	r := &rig.Rig{Program: p.Program, Dir: v.dir, Env: p.Env}
-	result, err := r.Run(ctx, s)
-	v.Err = err
-	if result != nil {
-		v.Violations, v.events = result.Broken, result.Events
-		v.Requests = result.Book.Service(0, s.Length*1000, -1).Requests
+	rigRun := &rig.Rig{Program: r.Program, Dir: result.dir, Env: r.Env}
+	rigResult, err := rigRun.Run(ctx, s)
+	result.Err = err
+	if rigResult != nil {
+		result.Violations, result.events = rigResult.Broken, rigResult.Events
+		result.Requests = rigResult.Book.Service(0, s.Length*1000, -1).Requests
 	}
-	return v
+	return result
 }
 
 // Reduce drops faults one by one while the same rule is still broken, and returns the last play that broke it. What breaks in some
 // plays only keeps more faults than it needs.
-func (p *Runner) Reduce(ctx context.Context, v *Result) *Result {
-	if len(v.Violations) == 0 {
-		return v
+func (r *Runner) Reduce(ctx context.Context, original *Result) *Result {
+	if len(original.Violations) == 0 {
+		return original
 	}
-	rule, reduced := v.Violations[0].Rule, v
-	for n, runs := len(v.Scenario.Faults)-1, 0; n >= 0 && runs < maxReductionRuns && ctx.Err() == nil; n, runs = n-1, runs+1 {
+	rule, reduced := original.Violations[0].Rule, original
+	for n, runs := len(original.Scenario.Faults)-1, 0; n >= 0 && runs < maxReductionRuns && ctx.Err() == nil; n, runs = n-1, runs+1 {
 		candidate := *reduced.Scenario
 		candidate.Faults = slices.Delete(slices.Clone(reduced.Scenario.Faults), n, n+1)
-		result := p.Run(ctx, &candidate)
+		result := r.Run(ctx, &candidate)
 		if result.Err == nil && slices.Contains(result.BrokenRules(), rule) {
 			reduced.Close()
 			reduced = result
-			p.reportProgress(fmt.Sprintf("seed %d breaks %q without %s too", v.Seed, rule, v.Scenario.Faults[n].Kind))
+			r.reportProgress(fmt.Sprintf("seed %d breaks %q without %s too", original.Seed, rule, original.Scenario.Faults[n].Kind))
 		} else {
 			result.Close()
 		}
@@ -100,36 +100,36 @@
 	return reduced
 }
 
-func (p *Runner) reportProgress(text string) {
-	if p.Progress != nil {
-		p.Progress(text)
+func (r *Runner) reportProgress(text string) {
+	if r.Progress != nil {
+		r.Progress(text)
 	}
 }
 
 // Write keeps the schedule, what was done and what broke in one order of time, and the logs.
-func (v *Result) Write(dir string) error {
+func (r *Result) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	text, err := Text(v.Scenario)
+	text, err := Text(r.Scenario)
 	if err != nil {
 		return err
 	}
 	var timeline strings.Builder
-	for _, e := range v.events {
+	for _, e := range r.events {
 		fmt.Fprintf(&timeline, "%9.0f ms  %s\n", e.At, e.Text)
 	}
-	for _, b := range v.Violations {
+	for _, b := range r.Violations {
 		fmt.Fprintf(&timeline, "\n%s\n%s\n", b.Rule, b.Details)
 	}
-	if v.Err != nil {
-		fmt.Fprintln(&timeline, v.Err)
+	if r.Err != nil {
+		fmt.Fprintln(&timeline, r.Err)
 	}
 	errs := []error{
 		os.WriteFile(filepath.Join(dir, "schedule.toml"), text, 0o644),
 		os.WriteFile(filepath.Join(dir, "timeline.txt"), []byte(timeline.String()), 0o644),
 	}
-	logs, _ := filepath.Glob(filepath.Join(v.dir, "*", "*.log"))
+	logs, _ := filepath.Glob(filepath.Join(r.dir, "*", "*.log"))
 	for _, log := range logs {
 		text, err := os.ReadFile(log)
 		errs = append(errs, err, os.WriteFile(filepath.Join(dir, filepath.Base(log)), text, 0o644))
