--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter runs decision modules on the bench's wire, over standard input and output.
+// Command adapter runs decision modules for the bench, which exchanges messages with it over standard input and output.
 package main
 
 import (
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // small heaps: collecting seldom costs little memory and saves decision time
+	debug.SetGCPercent(800) // the heaps are small: collecting rarely costs little memory and saves decision time
 	if err := wire.NewHub(os.Stdin, os.Stdout).Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
--- a/cmd/lab/compare.go
+++ b/cmd/lab/compare.go
@@ -15,10 +15,10 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-// figures that two runs are compared by.
+// metrics lists the figures by which two runs are compared.
 var metrics = []struct {
-	name string
-	of   func(s *scenario.Scenario, b *records.Book) float64
+	name  string
+	value func(s *scenario.Scenario, b *records.Book) float64
 }{
 	{"in time, share", func(s *scenario.Scenario, b *records.Book) float64 {
 		v := b.Service(0, s.Length*1000+1, -1)
@@ -42,6 +42,7 @@
 	{"rules broken", func(_ *scenario.Scenario, b *records.Book) float64 { return float64(len(b.Check())) }},
 }
 
+// compareCommand returns the command that runs two variants on the same seeds and compares their metrics.
 func compareCommand() *cobra.Command {
 	a, b := runOptions{}, runOptions{}
 	seeds, workers, isVirtual, file := 5, 1, false, ""
@@ -53,7 +54,7 @@
 			}
 			a.virtual, b.virtual = isVirtual, isVirtual
 			if seeds < 2 || workers < 1 || workers > 1 && !isVirtual {
-				return fmt.Errorf("--seeds: two at the least; --workers: more than one in virtual time only")
+				return fmt.Errorf("--seeds must be at least 2; --workers must be at least 1, and 1 without --virtual")
 			}
 			return compare(c, [2]*runOptions{&a, &b}, [2]string{args[0], file}, seeds, workers)
 		},
@@ -69,6 +70,8 @@
 	return c
 }
 
+// compare runs both sides on each seed and prints, for each metric, the means and the 95% interval of the paired
+// differences.
 func compare(c *cobra.Command, sides [2]*runOptions, files [2]string, seeds, workers int) error {
 	values := make([][2][]float64, seeds)
 	errs := make([]error, seeds)
@@ -91,7 +94,7 @@
 					return
 				}
 				for _, f := range metrics {
-					values[n][side] = append(values[n][side], f.of(s, book))
+					values[n][side] = append(values[n][side], f.value(s, book))
 				}
 			}
 		})
@@ -120,7 +123,7 @@
 	return err
 }
 
-// interval is the mean of paired differences and half of its 95% interval (Student's t).
+// interval returns the mean of paired differences and the half-width of its 95% confidence interval (Student's t).
 func interval(differences []float64) (mean, half float64) {
 	mean, sd := stat.MeanStdDev(differences, nil)
 	return mean, distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(differences) - 1)}.Quantile(0.975) * sd / math.Sqrt(float64(len(differences)))
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,5 +1,5 @@
-// Command lab rehearses: it plays a scenario with real processes of lynxjunction on loopback, or with its decisions in virtual
-// time, puts faults between them, and says whether the rules were kept and how the load was spread.
+// Command lab runs fault-injection scenarios, either with real lynxjunction processes on loopback or with the decision
+// logic alone in virtual time. It reports whether the rules were kept and how the load was distributed.
 package main
 
 import (
@@ -42,14 +42,14 @@
 	}
 }
 
-// how is what the flags say.
+// runOptions holds the flags of one run, and where its files were kept.
 type runOptions struct {
 	program, upgradeProgram, outDir, policy string
 	virtual                                 bool
 	seed                                    uint64
-	keepOnViolation                         bool   // start files and logs, when a rule is broken too
-	keepAlways                              bool   // in any case
-	keptDir                                 string // their folder, if they were kept
+	keepOnViolation                         bool   // keep start files and logs when a rule is broken
+	keepAlways                              bool   // keep start files and logs after every run
+	keptDir                                 string // folder of the start files and logs that were kept; empty for none
 }
 
 func root() *cobra.Command {
@@ -97,6 +97,7 @@
 	return rootCmd
 }
 
+// policies returns the names of the policies that are available in virtual time.
 func policies() string {
 	names := []string{}
 	for name := range virtual.Baselines {
@@ -105,7 +106,7 @@
 	return strings.Join(sorted(names), ", ")
 }
 
-// beside finds another program where this one is.
+// siblingProgram returns the path of a program in the same directory as this one.
 func siblingProgram(name string) string {
 	own, err := os.Executable()
 	if err != nil {
@@ -114,6 +115,7 @@
 	return filepath.Join(filepath.Dir(own), name)
 }
 
+// loadScenario reads a scenario file and returns the scenario and its source text.
 func loadScenario(path string) (*scenario.Scenario, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -123,7 +125,7 @@
 	return s, text, err
 }
 
-// demoFile is the demo's scenario, and its text.
+// loadDemo returns the scenario of the demo and its source text.
 func loadDemo() (*scenario.Scenario, []byte, error) {
 	text, err := scenarioFiles.ReadFile("rehearsals/demo.toml")
 	if err != nil {
@@ -135,7 +137,7 @@
 
 var errRuleViolated = errors.New("a rule was broken")
 
-// run plays one scenario, prints what it showed and writes the report.
+// run executes one scenario, prints its results and writes the report.
 func (opts *runOptions) run(c *cobra.Command, s *scenario.Scenario, text []byte, name string) error {
 	if opts.seed > 0 {
 		s.Seed = opts.seed
@@ -188,6 +190,7 @@
 	return err
 }
 
+// targetLabel describes what was run, for the report.
 func (opts *runOptions) targetLabel() string {
 	if opts.virtual {
 		return opts.policy + ", virtual time"
@@ -195,8 +198,9 @@
 	return filepath.Base(opts.program) + ", processes on loopback"
 }
 
-// play returns the accounts. With processes, start files and logs go to a folder that is removed when all went well, and in a
-// comparison when rules were broken.
+// execute runs a scenario and returns its records. A run with processes writes start files and logs to a temporary
+// folder. The folder is removed after a successful run, and in a comparison (where keepOnViolation is not set) also
+// when rules were broken.
 func (opts *runOptions) execute(ctx context.Context, s *scenario.Scenario, logProgress func(float64, string)) (*records.Book, *rig.Result, error) {
 	if opts.virtual {
 		newPolicy := virtual.Baselines[opts.policy]
@@ -206,7 +210,7 @@
 		startedAt := time.Now()
 		book, err := virtual.Run(s, newPolicy)
 		if err == nil {
-			logProgress(s.Length*1000, fmt.Sprintf("%.0f times faster than the clock", s.Length/time.Since(startedAt).Seconds()))
+			logProgress(s.Length*1000, fmt.Sprintf("%.0f times faster than real time", s.Length/time.Since(startedAt).Seconds()))
 		}
 		return book, nil, err
 	}
@@ -231,7 +235,8 @@
 	return result.Book, result, err
 }
 
-// progress speaks to a terminal, and is silent in a pipe.
+// newProgressLogger returns a function that prints progress messages with their time if w is a terminal, and does
+// nothing otherwise.
 func newProgressLogger(w io.Writer) func(float64, string) {
 	f, ok := w.(*os.File)
 	if !ok {
@@ -248,7 +253,8 @@
 	}
 }
 
-// sample is a start file with a comment beside each part. JSON has none: they are keys that the program ignores.
+// writeSampleConfig writes a start file with a comment for each section. JSON has no comments, so they are keys that
+// the program ignores.
 func writeSampleConfig(w io.Writer) error {
 	s, _, err := loadDemo()
 	if err != nil {
@@ -259,8 +265,8 @@
 	file := scenario.StartFile(s, 0, "a", "127.0.0.1:8080", "127.0.0.1:8081", known)
 	file["console"] = "127.0.0.1:8082"
 	for key, comment := range map[string]string{
-		"name": "of this sidecar, for logs", "listen": "where the calling process finds it", "discovery": "where the list of endpoints is asked for",
-		"console": "operators' own address; may be left out", "seed": "hex; all chance follows from it",
+		"name": "of this sidecar, for logs", "listen": "address for requests of the calling process", "discovery": "address of the service that serves the list of endpoints",
+		"console": "operators' own address; may be left out", "seed": "hex; seeds all random decisions",
 		"limits": "cores, memory in MB and descriptors that the process may have", "known": "the list as last held, or null",
 		"settings": "products, permissions and the figures of the rules; times in ms, locality is our zone",
 	} {
@@ -274,6 +280,7 @@
 	return err
 }
 
+// printReport prints the tables of a report folder.
 func printReport(w io.Writer, dir string) error {
 	tables, err := filepath.Glob(filepath.Join(dir, "*.csv"))
 	if err != nil {
--- a/cmd/lab/main_test.go
+++ b/cmd/lab/main_test.go
@@ -15,6 +15,7 @@
 	"github.com/lynxjunction/lynxjunction/internal/sidecar"
 )
 
+// runLab runs the command with the given arguments and returns its output.
 func runLab(args ...string) (string, error) {
 	c := root()
 	var out bytes.Buffer
@@ -25,7 +26,7 @@
 	return out.String(), err
 }
 
-// The sample start file is one that the program takes.
+// The sidecar accepts the sample start file.
 func TestSampleStartFile(t *testing.T) {
 	text, err := runLab("config")
 	require.NoError(t, err)
@@ -44,7 +45,8 @@
 	}
 }
 
-// A whole way in virtual time: run, report, and a second run into the same folder refused.
+// In virtual time: a run writes a report that can be printed, a second run into the same folder is refused, and so are
+// a folder without a report, an unknown policy and a missing program.
 func TestRunAndReport(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "r")
 	out, err := runLab("run", "rehearsals/demo.toml", "--virtual", "--out", dir)
@@ -63,7 +65,7 @@
 	assert.ErrorContains(t, err, "build it first")
 }
 
-// The same thing compared with itself shows no difference; random choice beside the module does.
+// Comparing a policy with itself shows no difference; comparing it with random choice does.
 func TestCompare(t *testing.T) {
 	out, err := runLab("compare", "rehearsals/demo.toml", "--virtual", "--seeds", "3", "--workers", "3")
 	require.NoError(t, err)
@@ -73,7 +75,7 @@
 	assert.Regexp(t, `legs each .* differs`, out)
 }
 
-// A wrong file: one line with file, line and key, exit 1, and nothing run.
+// An invalid scenario file gives one line with file, line and key and exit status 1, and nothing is run.
 func TestInvalidScenarioFile(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "lab")
 	text, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput()
@@ -96,7 +98,7 @@
 	}
 }
 
-// brokenRun plays a rehearsal of three seconds with a program that goes on sending to what drains.
+// runWithDrainDefect runs a scenario of three seconds with a program that continues to send to draining endpoints.
 func runWithDrainDefect(t *testing.T) (out string, err error) {
 	program := filepath.Join(t.TempDir(), "lynxjunction")
 	text, err := exec.Command("go", "build", "-tags", "seeded", "-o", program, "../lynxjunction").CombinedOutput()
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -1,4 +1,3 @@
-// Soak: rehearsals drawn from seeds, one after the other, until one breaks a rule.
 package main
 
 import (
@@ -17,10 +16,10 @@
 	"github.com/lynxjunction/lynxjunction/internal/soak"
 )
 
-// usageError is a command line that can't be; the command ends with 2.
+// usageError reports an invalid command line; the command exits with status 2.
 type usageError struct{ error }
 
-// soakFlags are what the flags of lab soak say.
+// soakFlags holds the flags of lab soak.
 type soakFlags struct {
 	seedCount, parallel int
 	firstSeed           uint64
@@ -30,6 +29,7 @@
 	profile             string
 }
 
+// soakCommand returns the command that runs generated scenarios for a series of seeds.
 func soakCommand() *cobra.Command {
 	f := &soakFlags{}
 	c := &cobra.Command{
@@ -49,7 +49,7 @@
 	return c
 }
 
-// soakLine is what is printed of one seed.
+// soakLine is the printed result of one seed.
 type soakLine struct {
 	Seed        uint64   `json:"seed"`
 	Requests    int      `json:"asked"`
@@ -69,11 +69,11 @@
 		verdict = "BROKEN: " + strings.Join(l.BrokenRules, ", ")
 	}
 	if l.Error != "" {
-		verdict = "NOT PLAYED: " + l.Error
+		verdict = "NOT RUN: " + l.Error
 	}
 	fmt.Fprintf(w, "seed %d: %d requests, %d faults, %s\n", l.Seed, l.Requests, l.Faults, verdict)
 	if l.Schedule != "" {
-		fmt.Fprintf(w, "  again: bin/lab run %s\n", l.Schedule)
+		fmt.Fprintf(w, "  to repeat: bin/lab run %s\n", l.Schedule)
 	}
 }
 
@@ -113,7 +113,7 @@
 	close(seeds)
 	workers.Wait()
 	if err := c.Context().Err(); err != nil {
-		return errors.New("ended before all seeds were played")
+		return errors.New("interrupted before all seeds were run")
 	}
 	if failed > 0 {
 		return fmt.Errorf("%d of %d seeds failed", failed, f.seedCount)
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// playOne plays a seed; one that breaks a rule is reduced and kept.
+// runSeed runs the scenario of one seed. If it breaks a rule, its schedule is reduced and written to the output folder.
 func (f *soakFlags) runSeed(ctx context.Context, runner *soak.Runner, seed uint64) soakLine {
 	result := runner.RunSeed(ctx, seed)
 	if f.reduce && result.Failed() && result.Err == nil {
--- a/cmd/lab/summary.go
+++ b/cmd/lab/summary.go
@@ -14,7 +14,7 @@
 
 func sorted(names []string) []string { slices.Sort(names); return names }
 
-// revision is what the build knows of its source.
+// revision returns the Go version and VCS revision recorded in the binary.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -29,7 +29,7 @@
 	return text
 }
 
-// summary is the report of one rehearsal, from its accounts.
+// buildReport makes the report of one run from its records. Parameter result is nil for runs in virtual time.
 func buildReport(s *scenario.Scenario, book *records.Book, result *rig.Result) *report.Report {
 	r := &report.Report{Title: s.Title}
 	if r.Title == "" {
@@ -45,27 +45,27 @@
 	}
 	sendDelayP99, maxSendDelay := book.HarnessSendDelay(99), book.HarnessSendDelay(100)
 	if sendDelayP99 > maxSendDelayMs || maxSendDelay > 20*maxSendDelayMs {
-		r.Verdict += fmt.Sprintf("; the machine was too busy: clients were late by %.0f ms (p99), %.0f at most, so believe no wait", sendDelayP99, maxSendDelay)
+		r.Verdict += fmt.Sprintf("; the machine was too busy: clients sent late by %.0f ms (p99), %.0f ms at most, so the wait times are not reliable", sendDelayP99, maxSendDelay)
 	}
 	all := book.Service(0, s.Length*1000+1, -1)
 	r.Facts = [][2]string{{"sidecars, endpoints", fmt.Sprintf("%d, %d", s.Fleet.Sidecars, len(s.EndpointNodes()))}, {"length", fmt.Sprintf("%g s", s.Length)},
-		{"exchanges", fmt.Sprint(all.Requests)}, {"the rehearsal's own lateness", fmt.Sprintf("%.1f ms (p99), %.0f ms at most", sendDelayP99, maxSendDelay)}}
+		{"exchanges", fmt.Sprint(all.Requests)}, {"delay of the clients' sending", fmt.Sprintf("%.1f ms (p99), %.0f ms at most", sendDelayP99, maxSendDelay)}}
 	r.Tables = append(r.Tables, serviceTable(s, book), spreadTable(s, book))
 	if drains := book.DrainSummaries(); len(drains) > 0 {
-		t := report.Table{Name: "out", Title: "Endpoints that sidecars were told to leave alone", Head: []string{"endpoint", "how", "told", "first s", "last s", "still sending", "legs"}}
+		t := report.Table{Name: "out", Title: "Endpoints that sidecars were told to drain", Head: []string{"endpoint", "how", "told", "first s", "last s", "still sending", "legs"}}
 		for _, o := range drains {
 			t.Rows = append(t.Rows, []string{o.Endpoint, o.Source, fmt.Sprint(o.Notified), report.FormatFloat(o.FirstNotifiedAt/1000, 1), report.FormatFloat(o.LastNotifiedAt/1000, 1), fmt.Sprint(o.LateSenders), fmt.Sprint(o.LateLegs)})
 		}
 		r.Tables = append(r.Tables, t)
 	}
 	if result != nil {
-		r.Facts = append(r.Facts, [2]string{"all up after", result.UpTook.String()})
+		r.Facts = append(r.Facts, [2]string{"all processes ready after", result.UpTook.String()})
 		peak, cpu, maxSendDelay := 0, 0.0, 0
 		for _, u := range result.Usage {
 			peak, cpu, maxSendDelay = max(peak, u.PeakKB), cpu+u.CPUms, max(maxSendDelay, u.Descriptors)
 		}
-		r.Facts = append(r.Facts, [2]string{"processes started", fmt.Sprint(len(result.Usage))}, [2]string{"memory of the largest", fmt.Sprintf("%d MB", peak>>10)},
-			[2]string{"processor time of all", fmt.Sprintf("%.1f s", cpu/1000)}, [2]string{"most descriptors of one", fmt.Sprint(maxSendDelay)})
+		r.Facts = append(r.Facts, [2]string{"processes started", fmt.Sprint(len(result.Usage))}, [2]string{"largest memory of a process", fmt.Sprintf("%d MB", peak>>10)},
+			[2]string{"CPU time of all processes", fmt.Sprintf("%.1f s", cpu/1000)}, [2]string{"most descriptors of a process", fmt.Sprint(maxSendDelay)})
 		for _, e := range result.Events {
 			r.Events = append(r.Events, fmt.Sprintf("%.1f s: %s", e.At/1000, e.Text))
 		}
@@ -74,6 +74,7 @@
 	return r
 }
 
+// serviceTable counts the outcomes of exchanges by phase and product.
 func serviceTable(s *scenario.Scenario, book *records.Book) report.Table {
 	t := report.Table{Name: "service", Title: "Service, by phase and product", Head: []string{"phase", "asked", "in time", "late", "dismissed", "failed",
 		"excused", "not taken", "p50 ms", "p99 ms", "legs each", "connections"}}
@@ -96,8 +97,9 @@
 	return t
 }
 
+// spreadTable compares the distribution of arrivals over the endpoints with random choice, by phase and window length.
 func spreadTable(s *scenario.Scenario, book *records.Book) report.Table {
-	t := report.Table{Name: "spread", Title: "Spread over the endpoints that are in service all the phase, beside random choice of the same arrivals",
+	t := report.Table{Name: "spread", Title: "Distribution over the endpoints in service during the whole phase, compared with random choice for the same arrivals",
 		Head: []string{"phase, window", "most/mean", "random's", "worst", "idle", "random's", "Jain", "random's", "least", "mean", "most", "held"}}
 	for n := range s.Phases[1:] {
 		from, to := s.Phases[n]*1000, s.Phases[n+1]*1000
@@ -114,11 +116,15 @@
 	return t
 }
 
-const maxSendDelayMs = 50.0 // ms at the 99th percentile that the clients may send late
+const maxSendDelayMs = 50.0 // at the 99th percentile; a larger delay of the clients' sending makes the wait times unreliable
 
-const maxBars, maxBarWidth = 24, 40 // endpoints that a terminal has room for; letters of the longest bar
+const (
+	maxBars     = 24 // endpoints that fit on a terminal
+	maxBarWidth = 40 // characters
+)
 
-// bars draw each endpoint's arrivals by phase; beyond what a terminal has room for the report's charts have them.
+// endpointBars draws the arrivals at each endpoint by phase as text bars. With more than maxBars endpoints it returns
+// an empty string: the report's charts show them.
 func endpointBars(s *scenario.Scenario, book *records.Book) string {
 	if len(book.EndpointNames) > maxBars {
 		return ""
@@ -137,17 +143,17 @@
 	return b.String()
 }
 
-// lines are the windows of a second, as a table and as charts.
+// addWindows adds the figures of each second to the report, as tables and as charts.
 func addWindows(s *scenario.Scenario, book *records.Book, r *report.Report) {
-	windowTable := report.Table{Name: "windows", Title: "Each second", Head: []string{"from s", "asked", "in time", "dismissed", "failed", "p50 ms", "p99 ms"}}
+	windowTable := report.Table{Name: "windows", Title: "Figures by second", Head: []string{"from s", "asked", "in time", "dismissed", "failed", "p50 ms", "p99 ms"}}
 	endpointTable := report.Table{Name: "endpoints", Title: "Arrivals at each endpoint, by second", Head: append([]string{"from s"}, book.EndpointNames...)}
-	service := report.Chart{Name: "service", Title: "Exchanges a second", X: "s", Y: "exchanges",
+	service := report.Chart{Name: "service", Title: "Exchanges per second", X: "s", Y: "exchanges",
 		Lines: []report.Line{{Name: "asked"}, {Name: "in time"}, {Name: "dismissed"}, {Name: "failed"}}}
-	latencies := report.Chart{Name: "waits", Title: "Waits of the satisfied", X: "s", Y: "ms", Lines: []report.Line{{Name: "p50"}, {Name: "p99"}}}
-	arrivals := report.Chart{Name: "arrivals", Title: "Arrivals at each endpoint", X: "s", Y: "a second"}
+	latencies := report.Chart{Name: "waits", Title: "Latency of successful exchanges", X: "s", Y: "ms", Lines: []report.Line{{Name: "p50"}, {Name: "p99"}}}
+	arrivals := report.Chart{Name: "arrivals", Title: "Arrivals at each endpoint", X: "s", Y: "per second"}
 	for _, name := range book.EndpointNames {
 		if len(book.EndpointNames) > 12 {
-			name = "" // a legend of many tells nothing
+			name = "" // a legend with more than 12 entries is unreadable
 		}
 		arrivals.Lines = append(arrivals.Lines, report.Line{Name: name})
 	}
--- a/cmd/lynxjunction/crowded_discovery_test.go
+++ b/cmd/lynxjunction/crowded_discovery_test.go
@@ -18,19 +18,20 @@
 	"github.com/lynxjunction/lynxjunction/internal/callqueue"
 )
 
-// The story and the evidence of this failure stand at logic/discovery_capacity_test.go, where discovery is a model. Here real
-// processes on loopback call a discovery that works through its calls in turn, and break the rule in the same way: a change that it
-// has counts as notified 6 s after it could be reached, and requests went on to the endpoint that drains.
+// This test guards against requests to a draining endpoint when discovery is overloaded after an outage. The failure
+// and its evidence are described in logic/discovery_capacity_test.go, where discovery is simulated. Here real processes
+// on loopback call a discovery that handles one call at a time, and broke the rule in the same way: a change counts as
+// notified 6 s after discovery is reachable, but requests still went to the endpoint that drains.
 
 const (
 	overloadProcesses = 20
-	overloadRound     = 4800 * time.Millisecond // the work of one call of each process
+	overloadRound     = 4800 * time.Millisecond // work of one call of every process
 	overloadCallWork  = overloadRound / overloadProcesses
-	overloadMaxWait   = 3 * time.Second
+	overloadMaxWait   = 3 * time.Second // with policy Refuse, calls that would wait longer are refused
 	overloadOutage    = 5 * time.Second
 )
 
-// crowdedDiscovery tells its list, to each call when its turn has come, and then beats.
+// overloadedDiscovery answers its calls one at a time with its list, and then sends heartbeats.
 type overloadedDiscovery struct {
 	queue   *callqueue.Queue
 	mu      sync.Mutex
@@ -42,7 +43,7 @@
 	return &overloadedDiscovery{queue: callqueue.New(overloadCallWork, overloadMaxWait, policy), list: list, watches: make(chan struct{})}
 }
 
-// answering serves one process, which is known by the address that it calls.
+// handlerFor returns the handler for one process, which is identified by the address that it calls.
 func (d *overloadedDiscovery) handlerFor(process string) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		if d.queue.Take(r.Context(), process) != nil {
@@ -66,7 +67,7 @@
 	}
 }
 
-// goDown ends all watches and refuses all calls; comeBack ends that, with another list.
+// goDown ends all watches and refuses all calls.
 func (d *overloadedDiscovery) goDown() {
 	d.queue.Down()
 	d.mu.Lock()
@@ -75,6 +76,7 @@
 	d.watches = make(chan struct{})
 }
 
+// comeBack accepts calls again, with another list, and returns the time.
 func (d *overloadedDiscovery) comeBack(list string) time.Time {
 	d.mu.Lock()
 	d.list = list
@@ -83,16 +85,17 @@
 	return time.Now()
 }
 
-// crowdTrial is a fleet before one discovery, with an endpoint that will drain and one that stays.
+// overloadTrial is a fleet with one discovery, an endpoint that will drain and one that stays.
 type overloadTrial struct {
 	*testEnv
 	discovery        *overloadedDiscovery
 	endpoints        [2]string
 	listenAddrs      []string
 	mu               sync.Mutex
-	lastDrainRequest map[string]time.Time // request to the endpoint that drains, by process
+	lastDrainRequest map[string]time.Time // last request to the endpoint that drains, by process
 }
 
+// list returns a list with the endpoint that stays in service and the other one in the given state.
 func (c *overloadTrial) list(version int, state string) string {
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[`+
 		`{"id":"s0","addr":%q,"zone":"a","cell":1,"state":%q,"weight":1,"started_ms":0},`+
@@ -142,6 +145,7 @@
 	c.listenAddrs = append(c.listenAddrs, listen)
 }
 
+// load sends requests one after another until over is closed.
 func (c *overloadTrial) load(listen, name string, over <-chan struct{}) {
 	client := &http.Client{Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
@@ -160,7 +164,7 @@
 	}
 }
 
-// heard is how many processes have a list of this version.
+// countWithVersion returns how many processes use the given version of the list.
 func (c *overloadTrial) countWithVersion(version int) (many int) {
 	for _, listen := range c.listenAddrs {
 		if _, page := get(listen, "/counters"); strings.Contains(page, fmt.Sprintf("\nlist_version %d\n", version)) {
@@ -170,17 +174,18 @@
 	return many
 }
 
-// A fleet whose calls together are nearly all that discovery can do in the time keeps a drain that came while it was down.
+// Discovery recovers from an outage with a drain, and the calls of the fleet take up nearly all of its capacity until
+// the bound. Every sidecar must still honor the drain.
 func TestDrainsAreHonoredWithOverloadedDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		policy callqueue.Policy
-	}{{"calls wait for their turn", callqueue.Wait}, {"calls that would wait long are refused", callqueue.Refuse}} {
+	}{{"calls wait in the queue", callqueue.Wait}, {"calls that would wait long are refused", callqueue.Refuse}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			trial := newOverloadTrial(t, c.policy)
 			require.Eventually(t, func() bool { return trial.countWithVersion(1) == overloadProcesses }, 2*overloadRound, 50*time.Millisecond,
-				"all processes hear a list after their start")
+				"all processes receive a list after their start")
 			trial.discovery.goDown()
 			time.Sleep(overloadOutage)
 			back := trial.discovery.comeBack(trial.list(2, "terminating"))
@@ -188,7 +193,7 @@
 			time.Sleep(time.Until(back.Add(bound + 2*time.Second)))
 			trial.mu.Lock()
 			defer trial.mu.Unlock()
-			require.Len(t, trial.lastDrainRequest, overloadProcesses, "each sent to it while it was in service")
+			require.Len(t, trial.lastDrainRequest, overloadProcesses, "each process sent requests to it while it was in service")
 			for process, last := range trial.lastDrainRequest {
 				assert.LessOrEqual(t, last.Sub(back), bound, "last request of %s to the endpoint that drains", process)
 			}
--- a/cmd/lynxjunction/drain_after_faults_test.go
+++ b/cmd/lynxjunction/drain_after_faults_test.go
@@ -21,23 +21,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What users saw: in a trial with faults injected, sidecars sent requests to endpoints that had begun to drain, up to a second
-// after the grace was over.
+// These tests guard against requests to a draining endpoint after faulty answers of discovery. In a run with injected
+// faults, sidecars sent to endpoints that had begun to drain for up to a second after the grace.
 //
-// Order of events: discovery had been down; a new configuration (SIGHUP) named another one, which was up and had the drain. Its
-// first answers were refused, reset, broken off or did not come. The sidecar heard a whole list 7 s after SIGHUP, where 4 s are
-// owed. In a second run a watch ended instead of telling the drain, and the next list was heard 2.8 s later.
+// How it came about: after an outage of discovery a reload (SIGHUP) named another discovery, which was up and had the
+// drain. Its first answers were refused, reset, truncated or missing, and the sidecar received a complete list 7 s
+// after SIGHUP instead of within 4 s. In a second run a watch ended instead of sending the drain, and the next list
+// came 2.8 s later.
 //
-// Cause: every part of the way from the event to the next whole list had a bound of its own (2.5 s for a silent call, up to 2.3 s
-// between two calls, the longer the more had failed, also at the discovery before), computed from the 6 s that follow a failed
-// call. No place knew the sum, nor that a new configuration leaves 4 s. While a call was silent no other was made.
+// Cause: each step from the event to the next complete list had its own bound (2.5 s for a silent call, up to 2.3 s
+// between two calls, longer after more failures, also those at the previous discovery), computed from the 6 s that
+// follow a failed call. Nothing bounded the sum or took into account that a reload leaves only 4 s, and no other call
+// was made while one was silent.
 //
-// Evidence: in both recorded runs discovery wrote no whole answer to the process in the gap, so that nothing was thrown away; the
-// last request to a draining endpoint came before the line that says the list is heard; all spans fit the steady clock, though the
-// wall clock was stepped. This test does the same to real processes and fails in the same way.
+// Evidence: in both recorded runs discovery wrote no complete answer to the process in the gap, so none was discarded.
+// The last request to a draining endpoint came before the log line for the received list. All times agree with the
+// monotonic clock, although the wall clock was stepped. The tests inject the same faults into real processes and fail
+// in the same way.
 
-// Spans of the protocol: a change counts as notified so long after discovery had it and could be reached, or after a new
-// configuration; from then on the grace for drains runs, with the slack that each limit on sockets has.
+// Bounds of the protocol. A change counts as notified some time after discovery has it and is reachable, or after a
+// reload. The grace for drains follows, with the slack that every limit at sockets has.
 const (
 	notifiedAfterReturn = 6 * time.Second
 	notifiedAfterReload = 4 * time.Second
@@ -45,9 +48,10 @@
 	socketSlack         = 50 * time.Millisecond
 )
 
-// faultyAnswer is one answer of discovery that brings no list.
+// faultyAnswer is an answer of discovery without a complete list.
 type faultyAnswer func(rw http.ResponseWriter, r *http.Request, list string)
 
+// hijackConnection returns the connection of a request, for answers that are not valid HTTP.
 func hijackConnection(rw http.ResponseWriter) net.Conn {
 	conn, _, err := rw.(http.Hijacker).Hijack()
 	if err != nil {
@@ -56,16 +60,19 @@
 	return conn
 }
 
+// resetConnection closes a connection with a TCP reset.
 func resetConnection(conn net.Conn) {
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
 }
 
+// writePart writes the first half of a list.
 func writePart(rw http.ResponseWriter, list string) {
 	io.WriteString(rw, list[:len(list)/2])
 	rw.(http.Flusher).Flush()
 }
 
+// faultyAnswers are the faulty answers by name.
 var faultyAnswers = map[string]faultyAnswer{
 	"busy":   func(rw http.ResponseWriter, _ *http.Request, _ string) { rw.WriteHeader(http.StatusServiceUnavailable) },
 	"reset":  func(rw http.ResponseWriter, _ *http.Request, _ string) { resetConnection(hijackConnection(rw)) },
@@ -101,22 +108,24 @@
 	},
 }
 
-// faultyDiscovery answers its calls by turns with the faults that it is given, then with whole lists and beats.
+// faultyDiscovery answers its first calls with the given faults in order, and later ones with complete lists and
+// heartbeats.
 type faultyDiscovery struct {
 	mu           sync.Mutex
 	list         string
 	faults       []string
 	calls        []time.Time
-	watchesEnded chan struct{} // closed to end the watches that told a list
+	watchesEnded chan struct{} // closed to end the watches that have sent a list
 }
 
+// set sets the list and the faults of the next calls, and forgets earlier calls.
 func (d *faultyDiscovery) set(list string, faults ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list, d.faults, d.calls = list, faults, nil
 }
 
-// endWatches ends all watches at once, as a discovery does that goes down or has lost them.
+// endWatches ends all watches at once, as happens when discovery goes down or loses them.
 func (d *faultyDiscovery) endWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -143,13 +152,13 @@
 		case <-r.Context().Done():
 			return
 		case <-watchesEnded:
-			panic(http.ErrAbortHandler) // the connection ends, with no end of the answer
+			panic(http.ErrAbortHandler) // closes the connection without completing the answer
 		case <-time.After(time.Second):
 		}
 	}
 }
 
-// drainTrial is one sidecar process with load, one endpoint that will drain and one that stays.
+// drainTrial is one sidecar process under load, with an endpoint that will drain and one that stays.
 type drainTrial struct {
 	*testEnv
 	process          *exec.Cmd
@@ -157,15 +166,16 @@
 	addrs            [2]string
 	config           string
 	endpoints        [2]string
-	lastDrainRequest atomic.Int64 // when a request came to the endpoint that drains, in nanoseconds since began
+	lastDrainRequest atomic.Int64 // when the last request came to the endpoint that drains, in nanoseconds since startedAt
 	served           atomic.Int64
 	startedAt        time.Time
 }
 
-// trials numbers them, so that each process listens on an address of its own: a free port of a common address may be taken by
-// another trial's connections before the process listens.
+// trialCount numbers the addresses, so that each process listens on an address of its own. A free port of a shared
+// address could be taken by another trial's connections before the process listens.
 var trialCount atomic.Int32
 
+// ownAddress returns a loopback address with a free port that no other trial uses.
 func ownAddress(t *testing.T) string {
 	const hosts = 254
 	n := trialCount.Add(1) - 1
@@ -211,19 +221,20 @@
 	return d
 }
 
-// list names the endpoint that stays, and the other one in the state given.
+// list returns a list with the endpoint that stays in service and the other one in the given state.
 func (d *drainTrial) list(version int, state string) string {
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[`+
 		`{"id":"s0","addr":%q,"zone":"a","cell":1,"state":%q,"weight":1,"started_ms":0},`+
 		`{"id":"s1","addr":%q,"zone":"a","cell":1,"state":"in_service","weight":1,"started_ms":0}]}`, version, d.endpoints[0], state, d.endpoints[1])
 }
 
+// configure writes a start file with the given discovery.
 func (d *drainTrial) configure(fleet int, discovery string) {
 	path := startFile(d.T, filepath.Dir(d.config), d.listen, discovery, d.list(1, "in_service"), 512, fleet)
 	require.NoError(d, os.Rename(path, d.config))
 }
 
-// reload names a discovery and sends SIGHUP; it returns when that was.
+// reload configures another discovery, sends SIGHUP and returns the time.
 func (d *drainTrial) reload(fleet int, discovery string) time.Time {
 	d.configure(fleet, discovery)
 	at := time.Now()
@@ -231,12 +242,13 @@
 	return at
 }
 
+// awaitVersion waits until the sidecar uses the given version of the list.
 func (d *drainTrial) awaitVersion(version int) {
 	line := fmt.Sprintf("\nlist_version %d\n", version)
 	require.Eventually(d, func() bool {
 		_, page := get(d.listen, "/counters")
 		return strings.Contains(page, line)
-	}, 20*time.Second, 10*time.Millisecond, "list %d is heard", version)
+	}, 20*time.Second, 10*time.Millisecond, "list %d is received", version)
 }
 
 // load sends a request every few milliseconds until the test ends.
@@ -264,10 +276,11 @@
 			}
 		}
 	}()
-	require.Eventually(d, func() bool { return d.lastDrainRequest.Load() > 0 }, 5*time.Second, time.Millisecond, "it is sent to while in service")
+	require.Eventually(d, func() bool { return d.lastDrainRequest.Load() > 0 }, 5*time.Second, time.Millisecond, "the endpoint receives requests while it is in service")
 }
 
-// keepsDrain waits until the change is known and for a while more, and checks when the last request came to the endpoint.
+// checkDrain waits until a second after the bound, and checks that no request came to the draining endpoint after the
+// bound and that the other endpoint is still used.
 func (d *drainTrial) checkDrain(since time.Time, notified time.Duration, calls *faultyDiscovery) {
 	time.Sleep(time.Until(since.Add(notified + drainGrace + socketSlack)))
 	served := d.served.Load()
@@ -280,11 +293,11 @@
 	}
 	calls.mu.Unlock()
 	assert.LessOrEqual(d, last, notified+drainGrace+socketSlack, "last request to the draining endpoint; calls to discovery at %v", times)
-	assert.Greater(d, d.served.Load(), served, "the other endpoint is sent to")
+	assert.Greater(d, d.served.Load(), served, "the other endpoint receives requests")
 	d.awaitVersion(2)
 }
 
-// drawFaults picks so many faults; the same seed draws the same.
+// drawFaults picks count faults; the same seed gives the same faults.
 func drawFaults(seed uint64, count int) (faults []string) {
 	names := []string{"busy", "reset", "silent", "head only", "half a head", "half a list", "half a list, reset", "a list in drips"}
 	rng := rand.New(rand.NewPCG(seed, 49))
@@ -294,26 +307,26 @@
 	return faults
 }
 
-// Whatever the first calls to a discovery meet, a drain that it has is kept in the time that is owed after the event.
+// A drain that discovery has is honored within the bound after the event, whatever faults the first calls receive.
 func TestDrainsAreHonoredDespiteFaultyDiscoveryAnswers(t *testing.T) {
 	const consecutiveFaults = 3
 	fleets := []int{1, 6, 30}
 	for _, event := range []struct {
 		name string
-		play func(d *drainTrial, fleet int, faults []string)
+		run  func(d *drainTrial, fleet int, faults []string)
 	}{
-		{"new configuration", func(d *drainTrial, fleet int, faults []string) {
+		{"reload", func(d *drainTrial, fleet int, faults []string) {
 			d.discoveries[1].set(d.list(2, "terminating"), faults...)
 			d.checkDrain(d.reload(fleet, d.addrs[1]), notifiedAfterReload, d.discoveries[1])
 		}},
-		{"new configuration while the discovery before is down", func(d *drainTrial, fleet int, faults []string) {
+		{"reload while the previous discovery is down", func(d *drainTrial, fleet int, faults []string) {
 			d.discoveries[0].set(d.list(1, "in_service"), slices.Repeat([]string{"busy"}, 101)...)
 			d.discoveries[0].endWatches()
 			time.Sleep(4 * time.Second)
 			d.discoveries[1].set(d.list(2, "terminating"), faults...)
 			d.checkDrain(d.reload(fleet, d.addrs[1]), notifiedAfterReload, d.discoveries[1])
 		}},
-		{"new configurations in a row", func(d *drainTrial, fleet int, faults []string) {
+		{"consecutive reloads", func(d *drainTrial, fleet int, faults []string) {
 			d.discoveries[0].set(d.list(2, "terminating"), faults...)
 			d.discoveries[1].set(d.list(2, "terminating"), faults...)
 			first := d.reload(fleet, d.addrs[1])
@@ -323,13 +336,13 @@
 			}
 			d.checkDrain(first.Add(900*time.Millisecond), notifiedAfterReload, d.discoveries[0])
 		}},
-		{"a watch that ends instead of telling", func(d *drainTrial, _ int, faults []string) {
+		{"watch ends instead of sending the change", func(d *drainTrial, _ int, faults []string) {
 			d.discoveries[0].set(d.list(2, "terminating"), faults...)
 			ended := time.Now()
 			d.discoveries[0].endWatches()
 			d.checkDrain(ended, notifiedAfterReturn, d.discoveries[0])
 		}},
-		{"discovery back after a while", func(d *drainTrial, _ int, faults []string) {
+		{"discovery recovers from an outage", func(d *drainTrial, _ int, faults []string) {
 			d.discoveries[0].set(d.list(1, "in_service"), slices.Repeat([]string{"busy"}, 101)...)
 			d.discoveries[0].endWatches()
 			time.Sleep(7 * time.Second)
@@ -341,7 +354,7 @@
 			for _, faults := range [][]string{{"silent", "silent", "silent"}, drawFaults(uint64(n), consecutiveFaults)} {
 				t.Run(fmt.Sprintf("%s, fleet of %d, %s", event.name, fleet, strings.Join(faults, " then ")), func(t *testing.T) {
 					t.Parallel()
-					event.play(newDrainTrial(t, fleet), fleet, faults)
+					event.run(newDrainTrial(t, fleet), fleet, faults)
 				})
 			}
 		}
--- a/cmd/lynxjunction/drain_lease_test.go
+++ b/cmd/lynxjunction/drain_lease_test.go
@@ -22,42 +22,43 @@
 	"github.com/lynxjunction/lynxjunction/internal/callqueue"
 )
 
-// Here discovery is well and owes a list, but the call that asks for it is answered after the change counts as notified: it waits in
-// discovery's queue, or many answers in a row are faulty. A sidecar that goes on by its last list then sends to what drains. One that
-// stops must not lose requests by it, nor stop where discovery can't be reached.
+// These tests guard against requests to a draining endpoint when a reachable discovery answers too late. The call that
+// asks for the list waits in discovery's queue, or a series of answers is faulty, until after the change counts as
+// notified. A sidecar that keeps using its last list then sends to the draining endpoint. A sidecar that stops serving
+// must lose no requests by it, and must not stop while discovery can't be reached.
 
 const (
-	notifiedAfterEnd = 2 * time.Second // after a watch ended in place of telling the change
+	notifiedAfterEnd = 2 * time.Second // after a watch ended instead of sending the change
 
-	leaseRequestInterval = 50 * time.Millisecond // between two requests to one sidecar
-	leaseTimeout         = time.Second           // that a request names, where a late answer is looked for
+	leaseRequestInterval = 50 * time.Millisecond // between two requests to a sidecar
+	leaseTimeout         = time.Second           // timeout of requests in trials that check the time of answers
 	longTimeout          = 2400 * time.Millisecond
 	answerGrace          = 500 * time.Millisecond
-	settleTime           = 500 * time.Millisecond // from a list that is heard to requests served again without exception
+	settleTime           = 500 * time.Millisecond // after a list is received, until all requests are served again
 
 	queuedCallWork    = 60 * time.Millisecond
-	queuedCalls       = 53                      // calls of others before a sidecar's first one
-	queuedCallWait    = 3200 * time.Millisecond // that this call waits
+	queuedCalls       = 53                      // calls of other clients ahead of the sidecar's first call
+	queuedCallWait    = 3200 * time.Millisecond // time that the sidecar's first call waits
 	outageTime        = 4 * time.Second
-	lateRequestWindow = 3 * time.Second // after a drain's bound, in which requests to it are looked for
+	lateRequestWindow = 3 * time.Second // after the bound of a drain, in which late requests are looked for
 
-	stayingEndpointWork = 10 * time.Millisecond // at the endpoint that stays, so that the other one is chosen as long as it may be
+	stayingEndpointWork = 10 * time.Millisecond // the endpoint that stays is slower, so that the other is preferred as long as it is eligible
 	maxTestStall        = 100 * time.Millisecond
 	maxRuns             = 3
 )
 
-// leaseDiscovery is a faultyDiscovery that can be away, and before which calls can wait.
+// leaseDiscovery is a faultyDiscovery that can be shut down, queue calls and hold calls without an answer.
 type leaseDiscovery struct {
 	faultyDiscovery
 	addr         string
 	queue        *callqueue.Queue
-	sendsChanges bool // watches tell changes
+	sendsChanges bool // watches send changes
 
 	watches       []chan string
-	silentWatches int // so many of them, from the first, say nothing more
+	silentWatches int // the first silentWatches watches send nothing more
 
 	gateMu sync.Mutex
-	gate   chan struct{} // calls wait until it is closed; nil for none
+	gate   chan struct{} // calls wait until it is closed; nil if they need not wait
 	server *http.Server
 }
 
@@ -86,7 +87,7 @@
 	d.faultyDiscovery.ServeHTTP(rw, r)
 }
 
-// crowd has calls of others wait in the queue.
+// queueOtherCalls puts count calls of other clients into the queue.
 func (d *leaseDiscovery) queueOtherCalls(t *testing.T, count int) {
 	before := d.queue.CallCount()
 	for range count {
@@ -95,7 +96,7 @@
 	require.Eventually(t, func() bool { return d.queue.CallCount() >= before+count }, time.Second, time.Millisecond)
 }
 
-// hold keeps all calls without an answer until the gate that it returns is closed.
+// blockCalls leaves all calls without an answer until the returned channel is closed.
 func (d *leaseDiscovery) blockCalls() chan struct{} {
 	d.gateMu.Lock()
 	defer d.gateMu.Unlock()
@@ -103,7 +104,7 @@
 	return d.gate
 }
 
-// listen takes calls, at the address that it had before; goAway ends all connections and has further ones refused.
+// listen accepts calls, on the address of the previous listen if there was one.
 func (d *leaseDiscovery) listen(t *testing.T) {
 	ln, err := net.Listen("tcp", d.addr)
 	require.NoError(t, err)
@@ -112,9 +113,10 @@
 	go d.server.Serve(ln)
 }
 
+// shutDown closes all connections; further ones are refused.
 func (d *leaseDiscovery) shutDown() { d.server.Close() }
 
-// since gives the times of the calls after an event, in seconds.
+// callTimesSince returns the times of the calls, in seconds after an event.
 func (d *leaseDiscovery) callTimesSince(event time.Time) (times []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,14 +126,14 @@
 	return times
 }
 
-// called tells whether a call has got beyond the queue.
+// hasTakenCall reports whether a call has passed the queue.
 func (d *leaseDiscovery) hasTakenCall() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.calls)+len(d.watches) > 0
 }
 
-// leaseAnswer is what became of one request.
+// leaseAnswer is the result of one request.
 type leaseAnswer struct {
 	sent     time.Time
 	duration time.Duration
@@ -139,42 +141,45 @@
 	err      error
 }
 
-// leaseTrial is a set of sidecars, each with a discovery and a load of its own, before an endpoint that will drain and one that stays.
+// leaseTrial is a set of sidecars, each with its own discovery and load, with an endpoint that will drain and one that
+// stays.
 type leaseTrial struct {
 	*testEnv
 	endpoints        [2]string
 	sidecars         []*leaseSidecar
-	timeout          time.Duration // that requests name
+	timeout          time.Duration // of requests
 	mu               sync.Mutex
-	lastDrainRequest map[string]time.Time // request to the endpoint that drains, by sidecar's id
-	longestStall     time.Duration        // longest time for which the test's own process had no core
-	failures         []string             // what was expected and not so
+	lastDrainRequest map[string]time.Time // last request to the endpoint that drains, by the sidecar's id
+	longestStall     time.Duration        // longest time for which the test process had no core
+	failures         []string             // failed expectations
 }
 
-// playLease plays a trial and reports what was broken. Where the test's own process was held up meanwhile, so that neither the times that
-// it gave discovery's answers nor those that it booked are right, the trial is played anew; the last play counts as it is.
+// runLeaseTrial runs a trial and reports its failed expectations. If the test process itself was stalled during the
+// run, neither the times of discovery's answers nor the recorded times are right, and the trial is repeated; the last
+// run counts as it is.
 func runLeaseTrial(t *testing.T, scenario func(trial *leaseTrial)) {
 	for n := 1; ; n++ {
 		var trial *leaseTrial
-		t.Run(fmt.Sprint("play ", n), func(t *testing.T) {
+		t.Run(fmt.Sprint("run ", n), func(t *testing.T) {
 			trial = newLeaseTrial(t)
 			scenario(trial)
 		})
 		if t.Failed() || trial.longestStall <= maxTestStall || n == maxRuns {
-			assert.Empty(t, trial.failures, "play %d, held up for %v at most", n, trial.longestStall)
+			assert.Empty(t, trial.failures, "run %d, longest stall of the test process %v", n, trial.longestStall)
 			return
 		}
-		t.Logf("play %d was held up for %v: %v", n, trial.longestStall, trial.failures)
+		t.Logf("run %d: test process was stalled for %v: %v", n, trial.longestStall, trial.failures)
 	}
 }
 
+// expect records a failed expectation if kept is false.
 func (l *leaseTrial) expect(kept bool, format string, args ...any) {
 	if !kept {
 		l.failures = append(l.failures, "\n"+fmt.Sprintf(format, args...))
 	}
 }
 
-// leaseSidecar is one sidecar of a trial, in one process or two.
+// leaseSidecar is one sidecar of a trial, with one process or, during a handover, two.
 type leaseSidecar struct {
 	trial              *leaseTrial
 	id                 string
@@ -182,12 +187,12 @@
 	listen             string
 	config             string
 	fleet              int
-	faults             []string  // faulty answers that it meets
-	endpoints          [2]string // that drains, that stays
+	faults             []string  // faulty answers that it receives
+	endpoints          [2]string // the one that drains and the one that stays
 	discoveries        [2]*leaseDiscovery
 	processes          []*leaseProcess
 	watchesSendChanges bool
-	slowListener       *slowListener // of the endpoint that drains; nil for none
+	slowListener       *slowListener // of the endpoint that drains; nil if it accepts normally
 
 	disturbances []disturbance
 
@@ -201,7 +206,7 @@
 	console string
 }
 
-// drains answers requests to the endpoint that drains.
+// serveDrainingEndpoint answers requests to the endpoint that drains.
 func (l *leaseTrial) serveDrainingEndpoint(rw http.ResponseWriter, r *http.Request) {
 	id, _, _ := strings.Cut(r.Header.Get("Request-Id"), "-")
 	l.mu.Lock()
@@ -220,7 +225,7 @@
 	return l
 }
 
-// list names the endpoint that stays and the one that drains, the latter only while it is in service.
+// list returns a list with the endpoint that stays, and with the one that drains if it is in service.
 func (s *leaseSidecar) list(version int, inService bool) string {
 	entries := []string{}
 	for n, addr := range s.endpoints {
@@ -231,7 +236,7 @@
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
 }
 
-// sidecar starts one, with a queue of its own before its discovery or with none.
+// startSidecar starts a sidecar, with a queue for the calls to its discovery or, if queue is nil, without.
 func (l *leaseTrial) startSidecar(name string, fleet int, queue *callqueue.Queue, options ...func(*leaseSidecar)) *leaseSidecar {
 	s := &leaseSidecar{trial: l, endpoints: l.endpoints, id: fmt.Sprint("n", len(l.sidecars)), name: name, fleet: fleet, listen: ownAddress(l.T),
 		config: filepath.Join(l.TempDir(), "start.json")}
@@ -252,7 +257,7 @@
 	return s
 }
 
-// begin waits until all sidecars have heard their first list, and has requests sent to them.
+// begin waits until all sidecars have received their first list, and starts the load.
 func (l *leaseTrial) begin() {
 	for _, s := range l.sidecars {
 		s.awaitWatch()
@@ -268,7 +273,7 @@
 	time.Sleep(settleTime)
 }
 
-// pulse notes how late the test's own process is woken.
+// monitorStalls records by how much the test process is woken too late.
 func (l *leaseTrial) monitorStalls(over <-chan struct{}) {
 	const interval = 5 * time.Millisecond
 	for last := time.Now(); ; {
@@ -283,13 +288,13 @@
 	}
 }
 
-// configure names a discovery in the start file.
+// configure writes a start file with the given discovery.
 func (s *leaseSidecar) configure(discovery int) {
 	path := startFile(s.trial.T, filepath.Dir(s.config), s.listen, s.discoveries[discovery].addr, s.list(1, true), 512, s.fleet)
 	require.NoError(s.trial, os.Rename(path, s.config))
 }
 
-// start runs a process; a second one takes over from the first.
+// startProcess starts a process; a second one takes over from the first.
 func (s *leaseSidecar) startProcess() *leaseProcess {
 	p := &leaseProcess{Cmd: exec.Command(os.Args[0]), console: ownAddress(s.trial.T)}
 	p.Env = append(os.Environ(), "LYNXJUNCTION_TEST_SERVE=1", "RELAY_CONFIG="+s.config, "RELAY_CONSOLE="+p.console,
@@ -311,14 +316,15 @@
 	require.NoError(s.trial, s.processes[0].Process.Signal(syscall.SIGHUP))
 }
 
-// handOver starts a second process beside the first.
+// startSuccessor starts a second process beside the first.
 func (s *leaseSidecar) startSuccessor() { s.processes = append(s.processes, s.startProcess()) }
 
-// endFirst tells the first process to end.
+// terminateFirst sends SIGTERM to the first process.
 func (s *leaseSidecar) terminateFirst() {
 	require.NoError(s.trial, s.processes[0].Process.Signal(syscall.SIGTERM))
 }
 
+// awaitSecondReady waits until the second process is healthy.
 func (s *leaseSidecar) awaitSecondReady() {
 	require.Eventually(s.trial, func() bool {
 		status, _ := get(s.processes[1].console, "/healthcheck")
@@ -326,22 +332,24 @@
 	}, 6*time.Second, 10*time.Millisecond, "%s: the second process takes over", s.name)
 }
 
+// awaitVersion waits until the sidecar uses the given version of the list.
 func (s *leaseSidecar) awaitVersion(version int) {
 	line := fmt.Sprintf("\nlist_version %d\n", version)
 	require.Eventually(s.trial, func() bool {
 		_, page := get(s.listen, "/counters")
 		return strings.Contains(page, line)
-	}, 20*time.Second, 10*time.Millisecond, "%s hears list %d", s.name, version)
+	}, 20*time.Second, 10*time.Millisecond, "%s receives list %d", s.name, version)
 }
 
-// awaitWatch waits until discovery has taken its first call in hand; its start file alone tells it version 1 too.
+// awaitWatch waits until discovery has accepted the sidecar's first call. Version 1 alone does not show that: it is in
+// the start file too.
 func (s *leaseSidecar) awaitWatch() {
 	s.awaitVersion(1)
 	require.Eventually(s.trial, s.discoveries[0].hasTakenCall, 20*time.Second, 10*time.Millisecond,
 		"%s opens its watch", s.name)
 }
 
-// load sends requests at a steady pace until the test ends, whatever becomes of them.
+// load sends requests at a steady rate until the test ends, without waiting for their answers.
 func (s *leaseSidecar) load() {
 	var all sync.WaitGroup
 	over := make(chan struct{})
@@ -383,7 +391,7 @@
 	s.answers = append(s.answers, a)
 }
 
-// between are the answers to what was sent in a span.
+// answersBetween returns the answers to the requests sent within a period.
 func (s *leaseSidecar) answersBetween(from, to time.Time) (some []leaseAnswer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -395,18 +403,19 @@
 	return some
 }
 
-// expectAnswered checks that each request of a span was served or refused in its time.
+// expectAnswered checks that each request of a period was served or refused within its timeout and the grace.
 func (s *leaseSidecar) expectAnswered(from, to time.Time) {
 	s.expect(from, to, "served or refused in time", func(a leaseAnswer) bool {
 		return (a.status == http.StatusOK || a.status == http.StatusServiceUnavailable) && a.duration <= s.trial.timeout+answerGrace
 	})
 }
 
-// expectServed checks that each request of a span was served.
+// expectServed checks that each request of a period was served.
 func (s *leaseSidecar) expectServed(from, to time.Time) {
 	s.expect(from, to, "served", func(a leaseAnswer) bool { return a.status == http.StatusOK })
 }
 
+// expect checks each answer of a period, and that at least three quarters of the requests due in it have ended.
 func (s *leaseSidecar) expect(from, to time.Time, what string, kept func(leaseAnswer) bool) {
 	some := s.answersBetween(from, to)
 	s.trial.expect(len(some) >= int(to.Sub(from)/leaseRequestInterval)*3/4, "%s: %d requests ended", s.name, len(some))
@@ -416,27 +425,31 @@
 	}
 }
 
-// expectDrainKept checks when the last request came to the endpoint that drains.
+// expectDrainKept checks that the last request to the endpoint that drains came within the bound after the event.
 func (s *leaseSidecar) expectDrainKept(event time.Time, notified time.Duration, d *leaseDiscovery) {
 	s.trial.mu.Lock()
 	last, sent := s.trial.lastDrainRequest[s.id]
 	s.trial.mu.Unlock()
-	s.trial.expect(sent, "%s: never sent to the endpoint while it was in service", s.name)
+	s.trial.expect(sent, "%s: sent no request to the endpoint while it was in service", s.name)
 	bound := notified + drainGrace + socketSlack
-	s.trial.expect(last.Sub(event) <= bound, "%s: last request to the draining endpoint %v after the event, %v allowed; calls that discovery took in hand at %v",
+	s.trial.expect(last.Sub(event) <= bound, "%s: last request to the draining endpoint %v after the event, %v allowed; calls accepted by discovery at %v",
 		s.name, last.Sub(event), bound, d.callTimesSince(event))
 }
 
-// A call behind a watch that ended is answered after the drain counts as notified, in one process and in the middle of a hand-over; then
-// with requests under way to the endpoint that drains.
+// The call that follows an ended or silent watch is answered only after the drain counts as notified: in one process,
+// during a handover, and with requests in flight to the endpoint that drains.
 func TestNoRequestToDrainingEndpointWhileListCallIsDelayed(t *testing.T) {
-	t.Run("undisturbed", func(t *testing.T) { runLeaseTrial(t, delayedCallAfterEndedWatch) })
-	t.Run("disturbed", func(t *testing.T) { runLeaseTrial(t, delayedCallWithRequestsInFlight) })
+	t.Run("ended watch", func(t *testing.T) { runLeaseTrial(t, delayedCallAfterEndedWatch) })
+	t.Run("ended watch, requests in flight", func(t *testing.T) { runLeaseTrial(t, delayedCallWithRequestsInFlight) })
 	t.Run("silent watch", func(t *testing.T) { runLeaseTrial(t, delayedCallAfterSilentWatch) })
 }
 
+// newLeaseQueue returns a queue in which every call waits until it is handled, however long that takes.
 func newLeaseQueue() *callqueue.Queue { return callqueue.New(queuedCallWork, 0, callqueue.Wait) }
 
+// delayedCallAfterEndedWatch ends the watches instead of sending the drain, and delays the next call of each sidecar:
+// in discovery's queue, or until all calls are answered together. Some sidecars are replaced meanwhile, with the old
+// process terminated before or after the new one has taken over.
 func delayedCallAfterEndedWatch(trial *leaseTrial) {
 	var queued, blocked, handedOver, termedEarly []*leaseSidecar
 	for _, fleet := range []int{1, 40} {
@@ -447,10 +460,10 @@
 			}
 			return trial.startSidecar(fmt.Sprintf("%s, fleet of %d", what, fleet), fleet, queue)
 		}
-		queued = append(queued, start("a queue", true))
-		blocked = append(blocked, start("answers together", false))
-		handedOver = append(handedOver, start("a queue and a hand-over", true))
-		termedEarly = append(termedEarly, start("a queue and a hand-over before any list", true))
+		queued = append(queued, start("queued call", true))
+		blocked = append(blocked, start("blocked call", false))
+		handedOver = append(handedOver, start("queued call and handover", true))
+		termedEarly = append(termedEarly, start("queued call and handover before any list", true))
 	}
 	trial.begin()
 	gates := []chan struct{}{}
@@ -477,7 +490,7 @@
 	}
 	receivedBy := ended.Add(queuedCallWait + 2*settleTime)
 	if settled := time.Now().Add(2 * settleTime); settled.After(receivedBy) {
-		receivedBy = settled // the hand-overs took longer
+		receivedBy = settled // the handovers took longer
 	}
 	trialEnd := receivedBy.Add(2 * time.Second)
 	time.Sleep(time.Until(trialEnd.Add(leaseTimeout + answerGrace)))
@@ -489,7 +502,8 @@
 	}
 }
 
-// endWatchesBeforeADrain ends all watches in place of telling the drain, with the calls of others in the queue. It returns when.
+// endWatchesWithDrain ends all watches instead of sending the drain, with calls of other clients in the queue. It
+// returns the time.
 func (l *leaseTrial) endWatchesWithDrain() (ended time.Time) {
 	for _, s := range l.sidecars {
 		if s.discoveries[0].queue != nil {
@@ -504,6 +518,8 @@
 	return ended
 }
 
+// delayedCallWithRequestsInFlight ends the watches instead of sending the drain, and has requests in flight to the
+// draining endpoint when the change counts as notified: slow dials, a stopped process, retries and hedges.
 func delayedCallWithRequestsInFlight(trial *leaseTrial) {
 	const ms = time.Millisecond
 	trial.timeout = longTimeout
@@ -511,9 +527,9 @@
 		return trial.startSidecar(name, 6, newLeaseQueue(), options...)
 	}
 	bound := notifiedAfterEnd + drainGrace
-	start("dials slowly", withSlowListener(bound-750*ms, bound+100*ms), withStayingEndpoint(neverRespond))
-	start("stands still for 0.15 s", withProcessStopped(bound-50*ms, bound+100*ms))
-	start("stands still over the bound", withProcessStopped(bound-300*ms, bound+300*ms))
+	start("slow dial", withSlowListener(bound-750*ms, bound+100*ms), withStayingEndpoint(neverRespond))
+	start("process stopped for 0.15 s", withProcessStopped(bound-50*ms, bound+100*ms))
+	start("process stopped across the bound", withProcessStopped(bound-300*ms, bound+300*ms))
 	startWithFaultyStayingEndpoint(start)
 	trial.begin()
 	trial.awaitEvent()
@@ -524,7 +540,8 @@
 	}
 }
 
-// waitBehindASilentWatch has watches fall silent in place of telling the drain, and calls answered after it counts as notified.
+// delayedCallAfterSilentWatch has watches fall silent instead of sending the drain, and answers calls after it counts
+// as notified.
 func delayedCallAfterSilentWatch(trial *leaseTrial) {
 	const answered = notifiedAfterReturn + 1500*time.Millisecond
 	for _, fleet := range []int{1, 40} {
@@ -553,12 +570,12 @@
 	}
 }
 
-// allFaults are all faulty answers in a fixed order.
+// allFaults returns all faulty answers in a fixed order.
 func allFaults() []string {
 	return []string{"busy", "reset", "silent", "head only", "half a head", "half a list", "half a list, reset", "a list in drips"}
 }
 
-// inARow are so many faulty answers of one kind, for each kind given.
+// repeatedFaults returns, for each kind given, a series of count faulty answers of that kind.
 func repeatedFaults(count int, faults ...string) (scripts [][]string) {
 	for _, fault := range faults {
 		scripts = append(scripts, slices.Repeat([]string{fault}, count))
@@ -566,13 +583,14 @@
 	return scripts
 }
 
-// playFaultyAnswers has one sidecar for each row of faulty answers meet them after an outage, and others after a new configuration.
+// runFaultyAnswers starts a sidecar for each series of faulty answers, which it receives after an outage or after a
+// reload.
 func runFaultyAnswers(t *testing.T, afterOutage, afterReload [][]string) {
 	for _, event := range []struct {
 		name     string
 		notified time.Duration
 		scripts  [][]string
-		play     func(trial *leaseTrial) (event time.Time, discovery int)
+		run      func(trial *leaseTrial) (event time.Time, discovery int)
 	}{
 		{"after an outage", notifiedAfterReturn, afterOutage, faultyAfterReturn},
 		{"after SIGHUP", notifiedAfterReload, afterReload, faultyAfterReload},
@@ -588,7 +606,7 @@
 					s.faults = script
 				}
 				trial.begin()
-				happened, discovery := event.play(trial)
+				happened, discovery := event.run(trial)
 				trialEnd := happened.Add(event.notified + drainGrace + lateRequestWindow)
 				time.Sleep(time.Until(trialEnd.Add(leaseTimeout + answerGrace)))
 				for _, s := range trial.sidecars {
@@ -600,6 +618,7 @@
 	}
 }
 
+// faultyAfterReturn has discovery recover from an outage with the sidecars' faulty answers.
 func faultyAfterReturn(trial *leaseTrial) (event time.Time, discovery int) {
 	for _, s := range trial.sidecars {
 		s.discoveries[0].set(s.list(1, true), slices.Repeat([]string{"busy"}, 1000)...)
@@ -612,6 +631,7 @@
 	return time.Now(), 0
 }
 
+// faultyAfterReload moves sidecars to a discovery that begins with their faulty answers.
 func faultyAfterReload(trial *leaseTrial) (event time.Time, discovery int) {
 	for _, s := range trial.sidecars {
 		s.discoveries[1].set(s.list(2, false), s.faults...)
@@ -624,14 +644,15 @@
 	return event, 1
 }
 
-// Six and eight answers in a row that end while time is left.
+// Series of six and eight faulty answers that end before the change counts as notified: the drain is honored.
 func TestDrainsAreHonoredAfterSeriesOfShortFaultyAnswers(t *testing.T) {
 	ends := []string{"busy", "reset", "half a head", "half a list", "half a list, reset"}
 	runFaultyAnswers(t, append(repeatedFaults(6, ends...), repeatedFaults(8, "half a head", "half a list")...),
 		append(append(repeatedFaults(6, ends...), repeatedFaults(8, "busy", "reset", "half a list, reset")...), allFaults()[:6]))
 }
 
-// Six and eight answers in a row that take longer together than is left, and faults of all kinds, in a fixed order and back.
+// Series of six and eight faulty answers that together take longer than the bound, and faults of all kinds in a fixed
+// order and in reverse.
 func TestNoRequestToDrainingEndpointAfterSeriesOfSlowFaultyAnswers(t *testing.T) {
 	mixed, back := allFaults(), allFaults()
 	slices.Reverse(back)
@@ -641,12 +662,13 @@
 		append(repeatedFaults(8, "half a head", "half a list"), long...))
 }
 
-// Eight answers in a row that look like a discovery that is down.
+// Series of eight faulty answers that can't be told from a discovery that is down.
 func TestNoRequestToADrainBehindEightAnswersThatEndAtOnce(t *testing.T) {
 	runFaultyAnswers(t, repeatedFaults(8, "busy", "reset"), nil)
 }
 
-// A discovery that plainly is down can tell nothing: the last list serves until it is back.
+// A discovery that is clearly down can send no change, so the sidecar serves from its last list until discovery
+// recovers.
 func TestServiceContinuesWithLastListWhileDiscoveryIsDown(t *testing.T) {
 	const down = 12 * time.Second
 	runLeaseTrial(t, func(trial *leaseTrial) {
@@ -683,7 +705,8 @@
 	})
 }
 
-// A discovery that takes calls and never answers stops service for a bounded time at most, and no request by it.
+// A discovery that accepts calls and never answers may stop service for a bounded time only, and every request is
+// answered meanwhile.
 func TestServiceResumesWhileDiscoveryIsSilent(t *testing.T) {
 	const silent, stoppedMost = 15 * time.Second, 12 * time.Second
 	runLeaseTrial(t, func(trial *leaseTrial) {
--- a/cmd/lynxjunction/drain_told_test.go
+++ b/cmd/lynxjunction/drain_told_test.go
@@ -12,25 +12,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Here a change counts as notified while a request is on its way to the endpoint that drains: it dials, waits for another try or a
-// copy, or stands still with the process.
+// These tests guard against requests that reach a draining endpoint late because they were in flight when the change
+// counted as notified: while dialling, before a retry or a hedge, or while the process was stopped.
 
-// lateDoor is a listener whose connections come up late while it is shut, as the kernel's queue is full then.
+// slowListener is a listener that can be blocked. The kernel's accept queue is full then, and new connections are
+// established only after it is unblocked.
 type slowListener struct {
 	net.Listener
 	mu              sync.Mutex
-	blocked         chan struct{} // closed when it opens; nil while it is open
+	blocked         chan struct{} // closed when the listener is unblocked; nil while it is not blocked
 	unblockedAt     time.Time
-	lateConnections int // connections of others than the door's own that came up behind its opening
+	lateConnections int // connections, other than those that fill the queue, that were established after it was unblocked
 }
 
-// doorSettles is how long after its opening the door still drops connections: these were up before, and what was written to them too.
+// unblockSettleTime is the time after unblocking in which connections are still dropped: they were established before,
+// and data may have been written to them then.
 const unblockSettleTime = 50 * time.Millisecond
 
-// doorFills is the address from which a door fills its own queue.
+// queueFillerIP is the source address of the connections that fill the accept queue.
 var queueFillerIP = net.IPv4(127, 0, 0, 2)
 
-// Accept has a connection wait while the door is shut, and drops those that came up before it was opened.
+// Accept waits while the listener is blocked, and drops connections that were established before it was unblocked.
 func (d *slowListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := d.Listener.Accept()
@@ -54,9 +56,9 @@
 	}
 }
 
-// close shuts the door, and fills its queue so that further connections wait.
+// block blocks the listener and fills its accept queue, so that further connections wait.
 func (d *slowListener) block(t *testing.T) {
-	const fill = 3 // one that Accept holds, one in the queue, one more
+	const fill = 3 // one held by Accept, one in the queue, and one more
 	d.mu.Lock()
 	d.blocked = make(chan struct{})
 	d.mu.Unlock()
@@ -71,6 +73,7 @@
 	}
 }
 
+// unblock lets waiting connections be established, and counts them from zero.
 func (d *slowListener) unblock() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,8 +81,8 @@
 	d.blocked, d.unblockedAt, d.lateConnections = nil, time.Now(), 0
 }
 
-// behindALateDoor has connections to the endpoint that drains come up late when they are dialled in a span, which counts from
-// the event, up to some time after the span.
+// withSlowListener delays connections to the endpoint that drains: those dialled between blockAt and unblockAt,
+// relative to the event, are established only after unblockAt.
 func withSlowListener(blockAt, unblockAt time.Duration) func(*leaseSidecar) {
 	return func(s *leaseSidecar) {
 		t := s.trial.T
@@ -91,7 +94,7 @@
 		require.NoError(t, err)
 		listener := &slowListener{Listener: ln}
 		server := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-			rw.Header().Set("Connection", "close") // each request dials
+			rw.Header().Set("Connection", "close") // every request needs a new connection
 			s.trial.serveDrainingEndpoint(rw, r)
 		})}
 		go server.Serve(listener)
@@ -101,17 +104,18 @@
 	}
 }
 
-// expectLateConnections checks that the order of events was forced: what was dialled while the door was shut came up behind its opening.
+// expectLateConnections checks that the trial had the intended order of events: connections dialled while the listener
+// was blocked were established after it was unblocked.
 func (s *leaseSidecar) expectLateConnections() {
 	if s.slowListener == nil {
 		return
 	}
 	s.slowListener.mu.Lock()
 	defer s.slowListener.mu.Unlock()
-	s.trial.expect(s.slowListener.lateConnections > 0, "%s: no connection came up late", s.name)
+	s.trial.expect(s.slowListener.lateConnections > 0, "%s: no connection was established late", s.name)
 }
 
-// standingStill has the process stand still for a span.
+// withProcessStopped stops the process (SIGSTOP) for a period relative to the event.
 func withProcessStopped(from, to time.Duration) func(*leaseSidecar) {
 	return func(s *leaseSidecar) {
 		s.disturbances = append(s.disturbances,
@@ -120,7 +124,7 @@
 	}
 }
 
-// besideOneThat has the endpoint that stays do something else.
+// withStayingEndpoint replaces the handler of the endpoint that stays.
 func withStayingEndpoint(handler http.HandlerFunc) func(*leaseSidecar) {
 	return func(s *leaseSidecar) { s.endpoints[1] = s.trial.serve(handler) }
 }
@@ -141,24 +145,25 @@
 
 func neverRespond(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// startBesideTroubled starts sidecars that have reason to try again, or to send a copy, at the endpoint that drains.
+// startWithFaultyStayingEndpoint starts sidecars that have reason to retry, or to send a hedge, at the endpoint that
+// drains.
 func startWithFaultyStayingEndpoint(start func(name string, options ...func(*leaseSidecar)) *leaseSidecar) {
-	start("the other turns away", withStayingEndpoint(respondNotStarted))
-	start("the other fails", withStayingEndpoint(respondError))
-	start("the other is slow", withStayingEndpoint(respondSlowly))
-	start("the other hangs", withStayingEndpoint(neverRespond))
+	start("other endpoint refuses without starting", withStayingEndpoint(respondNotStarted))
+	start("other endpoint fails", withStayingEndpoint(respondError))
+	start("other endpoint is slow", withStayingEndpoint(respondSlowly))
+	start("other endpoint hangs", withStayingEndpoint(neverRespond))
 }
 
-// disturbance is done so long after the event, or before it.
+// disturbance is an action at a time relative to the event, which may be negative.
 type disturbance struct {
 	at time.Duration
 	do func()
 }
 
-// disturbancesBefore is the longest time before the event at which one is done.
+// disturbanceLeadTime is the longest time by which a disturbance precedes the event.
 const disturbanceLeadTime = 300 * time.Millisecond
 
-// awaitEvent has the disturbances done in their time, and returns at that of the event.
+// awaitEvent schedules the disturbances and returns at the time of the event.
 func (l *leaseTrial) awaitEvent() (event time.Time) {
 	event = time.Now().Add(disturbanceLeadTime)
 	var all sync.WaitGroup
@@ -175,7 +180,7 @@
 	return event
 }
 
-// watch tells the list, and then what tell says, to one call.
+// watch answers one call with the list, then with heartbeats and the changes from sendChange.
 func (d *leaseDiscovery) watch(rw http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	text, changes, number := d.list, make(chan string, 1), len(d.watches)
@@ -199,14 +204,15 @@
 	}
 }
 
-// fallSilent has the open watches say nothing more.
+// silenceWatches has the open watches send nothing more, not even heartbeats.
 func (d *leaseDiscovery) silenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silentWatches = len(d.watches)
 }
 
-// tell says a change on watches, given by their numbers in the order in which they came; on all where none is given.
+// sendChange sends a change on the watch with the given number, in order of arrival, or on all watches if none is
+// given.
 func (d *leaseDiscovery) sendChange(change string, watches ...int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -217,9 +223,11 @@
 	}
 }
 
+// withWatchChanges has the watches of the sidecar's discoveries send changes.
 func withWatchChanges(s *leaseSidecar) { s.watchesSendChanges = true }
 
-// An endpoint that was told to drain gets no request past the grace, whatever is under way to it when it is told.
+// After a sidecar is notified of a drain, the endpoint receives no request after the grace, whatever was in flight to
+// it then.
 func TestNoRequestToDrainingEndpointAfterNotification(t *testing.T) {
 	const ms = time.Millisecond
 	runLeaseTrial(t, func(trial *leaseTrial) {
@@ -227,11 +235,11 @@
 		start := func(name string, options ...func(*leaseSidecar)) *leaseSidecar {
 			return trial.startSidecar(name, 6, nil, append(options, withWatchChanges)...)
 		}
-		toFirst, toSecond := start("told to the first of two processes"), start("told to the second of two processes")
+		toFirst, toSecond := start("first of two processes notified"), start("second of two processes notified")
 		start("undisturbed")
-		start("dials slowly", withSlowListener(-250*ms, 600*ms), withStayingEndpoint(neverRespond))
-		start("stands still for 0.15 s", withProcessStopped(-50*ms, 100*ms))
-		start("stands still past the grace", withProcessStopped(-50*ms, 750*ms))
+		start("slow dial", withSlowListener(-250*ms, 600*ms), withStayingEndpoint(neverRespond))
+		start("process stopped for 0.15 s", withProcessStopped(-50*ms, 100*ms))
+		start("process stopped past the grace", withProcessStopped(-50*ms, 750*ms))
 		startWithFaultyStayingEndpoint(start)
 		trial.begin()
 		for _, s := range []*leaseSidecar{toFirst, toSecond} {
--- a/cmd/lynxjunction/fleet_test.go
+++ b/cmd/lynxjunction/fleet_test.go
@@ -18,10 +18,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// told is how long after discovery had it and could be reached a change counts as told, whatever failed before.
+// notificationBound is the time after which a change counts as notified once discovery has it and is reachable,
+// whatever failed before.
 const notificationBound = 6 * time.Second
 
-// beside starts the test's own program as a sidecar, in a shell that may set limits first.
+// startSidecar starts the test program as a sidecar, in a shell that may set limits first.
 func startSidecar(t *testing.T, limits, config string) {
 	p := exec.Command("/bin/sh", "-c", limits+` exec "$0"`, os.Args[0])
 	p.Env = append(os.Environ(), "LYNXJUNCTION_TEST_SERVE=1", "RELAY_CONFIG="+config)
@@ -34,7 +35,7 @@
 	})
 }
 
-// get asks a sidecar on a new connection for one of its own pages; 0 is no answer.
+// get requests one of a sidecar's own pages on a new connection; a status of 0 means no answer.
 func get(addr, path string) (int, string) {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -51,6 +52,7 @@
 	return got.StatusCode, string(body)
 }
 
+// startFile writes the start file of a sidecar and returns its path.
 func startFile(t *testing.T, dir, listen, discovery, known string, sockets, fleet int) string {
 	path := filepath.Join(dir, strings.NewReplacer(":", "-").Replace(listen)+".json")
 	require.NoError(t, os.WriteFile(path, []byte(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":%q,`+
@@ -61,6 +63,7 @@
 	return path
 }
 
+// endpointList returns a list with the given endpoints in service.
 func endpointList(version int, addrs ...string) string {
 	entries := []string{}
 	for n, a := range addrs {
@@ -69,8 +72,8 @@
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
 }
 
-// Idle clients, some with half a head, take every descriptor that there is while discovery is down. When it is back the list
-// is there in time, what was in hand is answered, and what comes then finds its way out too.
+// Idle clients, some with a partial request head, use up all descriptors while discovery is down. When discovery
+// recovers, the sidecar must receive the list in time, answer the exchange in progress and serve new requests.
 func TestIdleClientsExhaustDescriptors(t *testing.T) {
 	gate := make(chan bool)
 	w := &testEnv{T: t}
@@ -95,7 +98,7 @@
 	defer close(done)
 	for n := range 200 {
 		_, text := request(fmt.Sprint("idle", n), "/look/x")
-		go func() { // who is sent away comes again, so that they are never fewer
+		go func() { // a client whose connection is closed connects again, so that their number never drops
 			for {
 				c, err := net.Dial("tcp", listen)
 				if err != nil {
@@ -104,7 +107,7 @@
 				switch n % 3 {
 				case 1:
 					io.WriteString(c, text[:20])
-				case 2: // and rests on the connection
+				case 2: // the connection stays open after the answer
 					io.WriteString(c, text)
 				}
 				ended := make(chan bool)
@@ -125,7 +128,7 @@
 	require.Eventually(t, func() bool {
 		_, page := get(listen, "/counters")
 		return strings.Contains(page, "\nclients_shed ") && !strings.Contains(page, "\nclients_shed 0\n")
-	}, 10*time.Second, 10*time.Millisecond, "idle ones give way")
+	}, 10*time.Second, 10*time.Millisecond, "idle clients are shed")
 	ln, err := net.Listen("tcp", discovery)
 	require.NoError(t, err)
 	back := time.Now()
@@ -139,14 +142,14 @@
 	for heard := false; !heard; {
 		_, page := get(listen, "/counters")
 		heard = strings.Contains(page, "\nlist_version 7\n")
-		require.Less(t, time.Since(back), notificationBound, "the list is there")
+		require.Less(t, time.Since(back), notificationBound, "the list is received in time")
 	}
 	close(gate)
 	held.SetDeadline(time.Now().Add(20 * time.Second))
 	got, err := http.ReadResponse(bufio.NewReader(held), nil)
-	require.NoError(t, err, "what was in hand is not lost")
+	require.NoError(t, err, "the exchange in progress is not lost")
 	assert.Equal(t, 200, got.StatusCode)
-	require.Eventually(t, func() bool { // amid those that come again it may be told to come back, which is no loss
+	require.Eventually(t, func() bool { // among the clients that reconnect it may be asked to come again, which counts as no loss
 		c, text := request(fmt.Sprint("new", time.Now().UnixNano()), "/look/new")
 		defer c.Close()
 		io.WriteString(c, text)
@@ -156,8 +159,9 @@
 	}, 20*time.Second, 10*time.Millisecond)
 }
 
-// Many processes of a large fleet are restarted together, with no list, while discovery is down; when it is back it takes calls
-// in turn, and refuses those that waited. Nine in ten are ready within 10 s of their start.
+// Many processes of a large fleet restart together without a list while discovery is down. When it recovers, discovery
+// handles calls one at a time and refuses those that waited too long. Nine in ten processes must be ready within 10 s
+// of their start.
 func TestFleetRestartWhileDiscoveryIsBusy(t *testing.T) {
 	const processes, down, maxQueueWait, callWork = 30, 5 * time.Second, time.Second, 50 * time.Millisecond
 	w := &testEnv{T: t}
--- a/cmd/lynxjunction/main.go
+++ b/cmd/lynxjunction/main.go
@@ -1,4 +1,4 @@
-// Command lynxjunction is the sidecar.
+// Command lynxjunction is a client-side load balancer that runs as a sidecar of one calling process.
 package main
 
 import (
@@ -44,7 +44,7 @@
 	serve := &cobra.Command{
 		Use: "serve", Short: "Serve until SIGTERM, then finish what is held", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			// From the first moment on: until it is caught, SIGHUP ends the process.
+			// SIGHUP terminates a process that does not handle it, so it is handled before anything else.
 			reload := make(chan os.Signal, 1)
 			signal.Notify(reload, syscall.SIGHUP)
 			start, err := readStart()
@@ -56,7 +56,7 @@
 				return err
 			}
 			defer log.Sync()
-			// A log reader that dies must not take the sidecar with it.
+			// If the process that reads the log exits, writing to its pipe must not terminate the sidecar.
 			signal.Ignore(syscall.SIGPIPE)
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
@@ -84,8 +84,8 @@
 	return rootCmd
 }
 
-// logger writes JSON lines to out without ever waiting for it: the loop logs too, and a log reader that stands still
-// must not stop the exchanges. The lines that do not fit are lost.
+// newLogger returns a logger that writes JSON lines to out and never blocks its callers: the event loop logs too, and a
+// blocked log reader must not stall exchanges. Lines that do not fit into the buffer are dropped.
 func newLogger(level string, out io.Writer) (*zap.Logger, error) {
 	minLevel, err := zap.ParseAtomicLevel(level)
 	if err != nil {
@@ -96,11 +96,13 @@
 	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), w, minLevel)), nil
 }
 
+// logWriter queues log lines for a goroutine that writes them out.
 type logWriter struct {
 	lines chan []byte
 	flush chan chan bool
 }
 
+// run writes queued lines to out and answers requests to flush.
 func (w *logWriter) run(out io.Writer) {
 	for {
 		select {
@@ -115,6 +117,7 @@
 	}
 }
 
+// Write queues a line, or drops it when the queue is full.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- bytes.Clone(line):
@@ -123,7 +126,7 @@
 	return len(line), nil
 }
 
-// Sync gives the last lines a moment to get out.
+// Sync waits up to 200 ms for the queued lines to be written.
 func (w *logWriter) Sync() error {
 	timeout, done := time.After(200*time.Millisecond), make(chan bool)
 	select {
@@ -139,7 +142,7 @@
 	}
 }
 
-// revision is what the build knows of its source.
+// revision returns the module version, Go version and VCS revision recorded in the binary.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/lynxjunction/main_test.go
+++ b/cmd/lynxjunction/main_test.go
@@ -25,11 +25,11 @@
 		args       []string
 		out, fault string
 	}{
-		{"good", []string{"check", "--config", good}, "n7 listens on 127.0.0.1:1", ""},
-		{"bad", []string{"check", "--config", bad}, "", "bad: not JSON"},
-		{"bad, served", []string{"serve", "--config", bad}, "", "bad: not JSON"},
+		{"valid", []string{"check", "--config", good}, "n7 listens on 127.0.0.1:1", ""},
+		{"invalid", []string{"check", "--config", bad}, "", "bad: not JSON"},
+		{"invalid, serve", []string{"serve", "--config", bad}, "", "bad: not JSON"},
 		{"missing", []string{"serve", "--config", bad + "x"}, "", "no such file"},
-		{"none named", []string{"serve", "--config", ""}, "", "RELAY_CONFIG"},
+		{"no file given", []string{"serve", "--config", ""}, "", "RELAY_CONFIG"},
 		{"no such level", []string{"serve", "--config", good, "--log", "loud"}, "", "loud"},
 		{"no such command", []string{"dance"}, "", "unknown command"},
 		{"version", []string{"version"}, "lynxjunction", ""},
@@ -49,7 +49,7 @@
 	}
 }
 
-// A log reader that stands still must not stop those who log.
+// A blocked log reader must not block the callers of the logger.
 func TestLoggerNeverBlocks(t *testing.T) {
 	in, out := io.Pipe()
 	log, err := newLogger("info", out)
@@ -70,7 +70,7 @@
 	assert.GreaterOrEqual(t, strings.Count(text, "\n"), 1000)
 }
 
-// SIGHUP must never end the process: it reads its file anew, again and again, also near SIGTERM.
+// SIGHUP must never terminate the process: it reloads the start file each time, also shortly before and after SIGTERM.
 func TestSignals(t *testing.T) {
 	path, calls := filepath.Join(t.TempDir(), "start"), make(chan string)
 	discoveries := []string{}
--- a/cmd/lynxjunction/upgrade_test.go
+++ b/cmd/lynxjunction/upgrade_test.go
@@ -21,7 +21,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The test's own program is the sidecar when it is told so: real processes, started as staff's platform starts them.
+// TestMain runs the sidecar instead of the tests if LYNXJUNCTION_TEST_SERVE is set, so that tests can start real
+// sidecar processes in the way a platform starts them.
 func TestMain(m *testing.M) {
 	if os.Getenv("LYNXJUNCTION_TEST_SERVE") != "" {
 		os.Args = []string{"lynxjunction", "serve"}
@@ -31,13 +32,14 @@
 	os.Exit(m.Run())
 }
 
-// world is what stands round a sidecar: endpoints, discovery, a folder that outlasts processes.
+// testEnv is the environment of a sidecar: endpoints, discovery, and a folder that persists across processes.
 type testEnv struct {
 	*testing.T
 	listen, config, dir string
 	requestCounts       [2]atomic.Int64
 }
 
+// freePort returns a loopback address with a free port.
 func freePort(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -45,6 +47,7 @@
 	return ln.Addr().String()
 }
 
+// newTestEnv starts two endpoints and a discovery, and writes the start file of a sidecar.
 func newTestEnv(t *testing.T) *testEnv {
 	w := &testEnv{T: t, listen: freePort(t), dir: t.TempDir()}
 	entries := []string{}
@@ -85,6 +88,7 @@
 	return w
 }
 
+// serve starts an HTTP server and returns its address.
 func (w *testEnv) serve(h http.HandlerFunc) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(w, err)
@@ -94,7 +98,7 @@
 	return ln.Addr().String()
 }
 
-// process is one sidecar.
+// process is one sidecar process.
 type process struct {
 	*exec.Cmd
 	env     *testEnv
@@ -118,7 +122,7 @@
 	return p
 }
 
-// call asks the console and returns its status; 0 is no answer.
+// callConsole calls the console and returns the status and body of its answer; a status of 0 means no answer.
 func (p *process) callConsole(method, path string) (int, string) {
 	c, err := net.DialTimeout("tcp", p.console, time.Second)
 	if err != nil {
@@ -135,7 +139,7 @@
 	return got.StatusCode, string(body)
 }
 
-// insist calls by hand until it is answered otherwise than with "call again".
+// postUntilAccepted repeats an operator's call until the answer is not 503 with "call again".
 func (p *process) postUntilAccepted(path string) (status int) {
 	assert.Eventually(p.env, func() bool {
 		text := ""
@@ -145,21 +149,24 @@
 	return status
 }
 
+// awaitReady waits until the health check succeeds.
 func (p *process) awaitReady() {
 	require.Eventually(p.env, func() bool { status, _ := p.callConsole("GET", "/healthcheck"); return status == 200 }, 6*time.Second, 5*time.Millisecond)
 }
 
+// terminate sends SIGTERM and checks that the process exits with status 0 within the given time.
 func (p *process) terminate(within time.Duration) {
 	p.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-p.ended:
-		assert.NoError(p.env, err, "ends with 0")
+		assert.NoError(p.env, err, "exits with status 0")
 	case <-time.After(within):
-		p.env.Error("does not end")
+		p.env.Error("does not exit")
 	}
 }
 
-// load asks at a steady pace, whatever becomes of it, and returns what was not answered with 200.
+// load sends requests at a steady rate until ctx is done, without waiting for their answers, and returns the failures:
+// requests that were not answered with 200.
 func (w *testEnv) load(ctx context.Context) (requests int64, failures []string) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -190,8 +197,8 @@
 	return requests, failures
 }
 
-// Two upgrades in a row under load: every request is answered, what staff said holds at each process, a long answer that
-// is half through comes whole, and only the old process ends.
+// Two consecutive upgrades under load: every request is answered, an operator's drain holds at each process, a long
+// answer in progress is completed, and only the old process exits.
 func TestUpgrades(t *testing.T) {
 	w := newTestEnv(t)
 	current := w.start()
@@ -220,22 +227,22 @@
 		time.Sleep(200 * time.Millisecond)
 		next := w.start()
 		status := current.postUntilAccepted("/endpoints/s0/maint")
-		assert.Equal(t, 200, status, "at the old one, while the new one starts")
+		assert.Equal(t, 200, status, "drain at the old process while the new one starts")
 		for _, p := range []*process{current, next} {
 			require.Eventually(t, func() bool { status, _ := p.callConsole("GET", "/healthcheck"); return status > 0 }, 6*time.Second, time.Millisecond)
-			p.Process.Signal(syscall.SIGHUP) // a new configuration in the middle of it
+			p.Process.Signal(syscall.SIGHUP) // a reload during the upgrade
 		}
 		next.awaitReady()
 		if round > 0 {
 			status = next.postUntilAccepted("/endpoints/s0/ready")
-			assert.Equal(t, 200, status, "a single call ends it, at the new one")
+			assert.Equal(t, 200, status, "a single call at the new process undrains the endpoint")
 		}
 		current.terminate(6 * time.Second)
-		assert.EqualValues(t, 8<<20, <-received, "half through when the old one was told to end")
+		assert.EqualValues(t, 8<<20, <-received, "the answer was in progress when the old process was told to exit")
 		current = next
 		before := w.requestCounts[0].Load()
 		time.Sleep(300 * time.Millisecond)
-		assert.Equal(t, round > 0, w.requestCounts[0].Load() > before, "out stays out, back is back")
+		assert.Equal(t, round > 0, w.requestCounts[0].Load() > before, "a drained endpoint receives no requests, an undrained one does")
 	}
 	stop()
 	o := <-loadResult
@@ -247,8 +254,8 @@
 	current.terminate(6 * time.Second)
 }
 
-// A new process that dies, or that never says yes, leaves the old one serving; an old one that is killed costs no more
-// than what it held; one that hangs does not keep the new one from serving.
+// If a new process dies or never becomes ready, the old one continues to serve. If the old one is killed, only the
+// exchanges that it held are lost. If the old one hangs, the new one serves all the same.
 func TestFailedUpgrades(t *testing.T) {
 	w := newTestEnv(t)
 	old := w.start()
@@ -269,7 +276,7 @@
 	<-next.ended
 	next.ended <- nil
 	for range 20 {
-		assert.Equal(t, 200, ask(), "after the new one died")
+		assert.Equal(t, 200, ask(), "after the new process died")
 	}
 	next = w.start()
 	next.awaitReady()
@@ -277,7 +284,7 @@
 	<-old.ended
 	old.ended <- nil
 	for range 20 {
-		assert.Equal(t, 200, ask(), "after the old one was killed")
+		assert.Equal(t, 200, ask(), "after the old process was killed")
 	}
 	require.NoError(t, next.Process.Signal(syscall.SIGSTOP))
 	last := w.start()
@@ -285,11 +292,12 @@
 	next.Process.Kill()
 	<-next.ended
 	next.ended <- nil
-	assert.Equal(t, 200, ask(), "after one that hung")
+	assert.Equal(t, 200, ask(), "after the old process hung")
 	last.terminate(6 * time.Second)
 }
 
-// SIGTERM may come before the new process has said yes: whoever connects waits in the queue that both have.
+// SIGTERM may reach the old process before the new one is ready: new connections wait in the accept queue that both
+// processes share.
 func TestSIGTERMBeforeSuccessorIsReady(t *testing.T) {
 	w := newTestEnv(t)
 	old := w.start()
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -1,4 +1,4 @@
-// Package knownred tests the script by which CI passes over tests that fail for a known fault, and over just these.
+// Package knownred tests the script with which CI skips exactly the tests that are listed as failing for a known fault.
 package knownred
 
 import (
@@ -19,22 +19,22 @@
 func TestGreen(t *testing.T) {}
 `
 
-// Whoever lists a test says why, where it is to be mended, and no more than three; a list that nobody could have meant fails CI.
+// Each entry names an existing test, a cause and an issue, and the list holds at most three. A malformed list fails CI.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/known-red")
 	require.NoError(t, err)
 	for _, c := range []struct{ name, file, skip, play, refused string }{
 		{"no file", "", "", "", ""},
-		{"an empty one", "\n", "", "", "KNOWN-RED.txt: line 1 is not: test | cause | issue\n"},
-		{"one that fails", "TestRed | a fault | 45\n", "^(TestRed)$\n", "known red: TestRed fails, as known: a fault (issue 45)\n", ""},
-		{"no end of line", "TestRed | a fault | 45", "^(TestRed)$\n", "known red: TestRed fails, as known: a fault (issue 45)\n", ""},
-		{"one that passes", "TestGreen | a fault | 45\nTestRed | another | 7\n", "^(TestGreen|TestRed)$\n",
+		{"an empty line", "\n", "", "", "KNOWN-RED.txt: line 1 is not: test | cause | issue\n"},
+		{"listed test fails", "TestRed | a fault | 45\n", "^(TestRed)$\n", "known red: TestRed fails, as known: a fault (issue 45)\n", ""},
+		{"no newline at the end", "TestRed | a fault | 45", "^(TestRed)$\n", "known red: TestRed fails, as known: a fault (issue 45)\n", ""},
+		{"listed test passes", "TestGreen | a fault | 45\nTestRed | another | 7\n", "^(TestGreen|TestRed)$\n",
 			"known red: TestGreen PASSES: its line may go: a fault (issue 45)\nknown red: TestRed fails, as known: another (issue 7)\n", ""},
-		{"four", "TestRed | a | 1\nTestRed | b | 1\nTestRed | c | 1\nTestGreen | d | 1\n", "", "", "KNOWN-RED.txt: 4 tests, three at the most\n"},
+		{"four entries", "TestRed | a | 1\nTestRed | b | 1\nTestRed | c | 1\nTestGreen | d | 1\n", "", "", "KNOWN-RED.txt: 4 tests, three at the most\n"},
 		{"no issue", "TestRed | a fault\n", "", "", "KNOWN-RED.txt: line 1 is not: test | cause | issue\n"},
 		{"no cause", "TestRed |  | 45\n", "", "", "KNOWN-RED.txt: line 1 is not: test | cause | issue\n"},
-		{"a pattern for all", "Test.* | a fault | 45\n", "", "", "KNOWN-RED.txt: line 1 is not: test | cause | issue\n"},
-		{"no test of the tree", "TestRed | a fault | 45\nTestGone | a fault | 45\n", "", "", "KNOWN-RED.txt: TestGone is no test of the tree\n"},
+		{"pattern instead of a name", "Test.* | a fault | 45\n", "", "", "KNOWN-RED.txt: line 1 is not: test | cause | issue\n"},
+		{"no such test", "TestRed | a fault | 45\nTestGone | a fault | 45\n", "", "", "KNOWN-RED.txt: TestGone is no test of the tree\n"},
 		{"part of a name", "TestRe | a fault | 45\n", "", "", "KNOWN-RED.txt: TestRe is no test of the tree\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 				assert.Equal(t, c.refused, stderr, what)
 				assert.Equal(t, c.refused != "", code == 1, "%s: %d", what, code)
 			}
-			if c.skip == "^(TestRed)$\n" { // just these are passed over
+			if c.skip == "^(TestRed)$\n" { // only the listed test is skipped
 				stdout, _, code := runCommand(t, dir, "go", "test", "-v", "-skip", "^(TestRed)$", "./...")
 				assert.Zero(t, code, stdout)
 				assert.Contains(t, stdout, "--- PASS: TestGreen")
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,5 +1,6 @@
-// Package records keeps what clients and endpoints of a rehearsal saw, and holds it against the rules. It never reads the
-// program's own counters: a rule that is kept by the program's word alone is not kept. It has no I/O and no clock.
+// Package records keeps what the clients and endpoints of a scenario run observed, and checks it against the rules. It
+// never reads the counters of the program under test: a rule must hold in independent observations, not only in what
+// the program reports about itself. The package does no I/O and reads no clock.
 package records
 
 import (
@@ -11,16 +12,18 @@
 	"sync"
 )
 
-// Terms are the figures of the rules. Times are in ms.
+// Terms are the parameters of the rules.
 type Terms struct {
-	Products                                     []Product
-	AnswerGraceMs                                float64 // past the abandon time in which an answer still counts
-	DrainGraceMs                                 float64 // after the telling of a drain in which something new may still come
-	FreeExtraLegs, ExtraLegRatio, BudgetWindowMs float64 // budget of legs beyond the first; LookBack 0 for none
-	MinServedShare                               float64 // of requests that is served in time while all that a sidecar depends on is sound; 0 for none
+	Products       []Product
+	AnswerGraceMs  float64 // after the abandon time, in which an answer still counts
+	DrainGraceMs   float64 // after the notification of a drain, in which new legs may still arrive
+	FreeExtraLegs  float64 // legs beyond the first of an exchange that are allowed in each window
+	ExtraLegRatio  float64 // legs beyond the first that are allowed in addition, for each exchange of the window
+	BudgetWindowMs float64 // window of the budget of legs; 0 for no budget
+	MinServedShare float64 // of the requests that arrive while all dependencies of a sidecar are healthy, served in time; 0 for no rule
 }
 
-// Product is what the rules need of one.
+// Product holds the properties of a product that the rules use.
 type Product struct {
 	Name       string
 	ExpectedMs float64
@@ -29,76 +32,77 @@
 	Referenced bool
 }
 
-// Exchange is one as its client saw it. Times are ms from the start.
+// Exchange is one exchange as its client observed it. Times are in ms from the start of the run.
 type Exchange struct {
 	ID           string
 	Sidecar      int
 	Product      int
 	Work         float64
-	DueAt        float64 // when it was due: waits count from here
-	SentAt       float64 // its last byte; 0 if it never was
+	DueAt        float64 // when it was due; latency counts from here
+	SentAt       float64 // when its last byte was sent; 0 if it never was
 	EndedAt      float64
 	Status       int     // 0 for no answer
-	AnswerFault  string  // what was wrong with the answer
-	ClientLeftAt float64 // when its client closed its connection without an answer; 0 if it did not
-	ExcuseReason string  // why the sidecar owes no answer
+	AnswerFault  string  // what was wrong with the answer; empty if nothing was
+	ClientLeftAt float64 // when its client closed the connection before an answer; 0 if it did not
+	ExcuseReason string  // why the sidecar need not answer; empty if it must
 	legs         []*Leg
 	succeeded    bool
 }
 
-// Leg is one as its endpoint saw it.
+// Leg is one leg as its endpoint observed it. Times are in ms from the start of the run.
 type Leg struct {
 	Exchange      string
 	Endpoint      int
-	ArrivedAt     float64 // its first bytes
+	ArrivedAt     float64 // when its first bytes came
 	EndedAt       float64
-	Outcome       string  // satisfied, errored, full, failed, left, cut
-	NewConnection bool    // the first one on its connection
-	KeyIntact     bool    // carried its mark unchanged
-	DeadlineMs    float64 // ms that it told its endpoint; 0 for none
+	Outcome       string  // satisfied, errored, full, failed, left or cut
+	NewConnection bool    // it was the first leg on its connection
+	KeyIntact     bool    // it carried the exchange's key unchanged
+	DeadlineMs    float64 // deadline that it announced to its endpoint; 0 for none
 	Work          float64
 	exchange      *Exchange
 }
 
-// ran tells whether an effect may have come of it.
+// mayHaveRun reports whether the leg may have had an effect: endpoints answer "full" before they start work.
 func (l *Leg) mayHaveRun() bool { return l.Outcome != "full" }
 
-// span is a time in which something holds.
+// span is a period of time, in ms from the start of the run, in which a condition holds.
 type span struct {
 	from, to float64
 	reason   string
 }
 
-// Book holds all accounts. It may be used from any goroutine.
+// Book holds all records of a run. Its methods are safe for concurrent use.
 type Book struct {
 	Terms
 	mu               sync.Mutex
 	exchanges        map[string]*Exchange
 	exchangesInOrder []*Exchange
 	legs             []*Leg
-	drains           map[[2]int][]span // sidecar, endpoint: told to send nothing new there
-	excuses          map[int][]span    // sidecar
+	drains           map[[2]int][]span // by sidecar and endpoint: the sidecar was notified to send nothing new to the endpoint
+	excuses          map[int][]span    // by sidecar: it need not answer exchanges in progress
 	collapses        []collapse
-	EndpointNames    []string // of the endpoints
-	InService        []span   // of each endpoint: listed as in service
-	ConnectionCounts []int    // connections that each endpoint took
-	LinkSlackMs      func(sidecar, endpoint int, at float64) float64
-	Healthy          func(sidecar int, from, to float64) bool // endpoints, links and cores of a sidecar are sound all that time
-	harnessDelays    []span                                   // when the rehearsal itself stood still or had no core: what came then is booked too late
+	EndpointNames    []string
+	InService        []span                                          // by endpoint: listed as in service
+	ConnectionCounts []int                                           // by endpoint: connections that it accepted
+	LinkSlackMs      func(sidecar, endpoint int, at float64) float64 // delay that faults of a link may add at a time
+	Healthy          func(sidecar int, from, to float64) bool        // reports whether the endpoints, links and cores of a sidecar are healthy throughout a period
+	harnessDelays    []span                                          // when the test harness itself was stalled or had no core: events of these periods are recorded too late
 }
 
+// collapse is the failure of an endpoint that was overloaded while it was cold.
 type collapse struct {
 	endpoint int
 	at       float64
 }
 
-// New is an empty book.
+// New returns an empty Book.
 func New(t Terms) *Book {
 	return &Book{Terms: t, exchanges: map[string]*Exchange{}, drains: map[[2]int][]span{}, excuses: map[int][]span{},
 		LinkSlackMs: func(int, int, float64) float64 { return 0 }, Healthy: func(int, float64, float64) bool { return true }}
 }
 
-// Endpoint enters one more and returns its number.
+// AddEndpoint adds an endpoint, in service from the given time, and returns its number.
 func (b *Book) AddEndpoint(name string, at float64) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -106,28 +110,28 @@
 	return len(b.EndpointNames) - 1
 }
 
-// Began says since when an endpoint is in service.
+// SetInServiceFrom records the time from which an endpoint is in service.
 func (b *Book) SetInServiceFrom(e int, at float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.InService[e].from = at
 }
 
-// Out says that an endpoint takes no part from a time on.
+// SetInServiceUntil records that an endpoint is out of service from the given time on. The earliest such time counts.
 func (b *Book) SetInServiceUntil(e int, at float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.InService[e].to = min(b.InService[e].to, at)
 }
 
-// Dial counts a connection that an endpoint took.
+// CountConnection counts a connection that an endpoint accepted.
 func (b *Book) CountConnection(e int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ConnectionCounts[e]++
 }
 
-// Ask enters an exchange that a client is about to ask for.
+// AddExchange adds an exchange whose request a client is about to send.
 func (b *Book) AddExchange(x *Exchange) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,14 +139,14 @@
 	b.exchangesInOrder = append(b.exchangesInOrder, x)
 }
 
-// Find returns what an exchange is about; nil for one that no client asked for.
+// FindExchange returns the exchange with the given id, or nil if no client requested it.
 func (b *Book) FindExchange(id string) *Exchange {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.exchanges[id]
 }
 
-// Arrive enters a leg at an endpoint.
+// AddLeg adds a leg that arrived at an endpoint.
 func (b *Book) AddLeg(l *Leg) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -153,14 +157,14 @@
 	}
 }
 
-// End says what became of a leg.
+// EndLeg records the outcome of a leg.
 func (b *Book) EndLeg(l *Leg, outcome string, at float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l.Outcome, l.EndedAt = outcome, at
 }
 
-// Answered says how an exchange ended for its client.
+// RecordAnswer records how an exchange ended for its client. A status of 0 means no answer.
 func (b *Book) RecordAnswer(x *Exchange, status int, wrong string, sent, at float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -168,14 +172,15 @@
 	x.succeeded = status == 200 && wrong == ""
 }
 
-// Leaves says that a client has closed its connection before its answer came.
+// RecordClientLeft records that a client closed its connection before its answer came.
 func (b *Book) RecordClientLeft(x *Exchange, sent, at float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	x.SentAt, x.EndedAt, x.ClientLeftAt = sent, at, at
 }
 
-// Late says that the rehearsal itself was late between two times. What overlaps counts once; times come in the order of their ends.
+// RecordHarnessDelay records that the test harness itself was delayed between two times. Overlapping periods are
+// merged, so that they count once; periods must come in the order of their ends.
 func (b *Book) RecordHarnessDelay(from, to float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -186,14 +191,15 @@
 	b.harnessDelays = append(b.harnessDelays, span{from: from, to: to})
 }
 
-// deserted is by how much a leg came after its client had left, without what the rehearsal's own lateness and the faults of its
-// link may add: on a silent link a request that was sent before comes when the link is back.
+// delayAfterClientLeft returns how many ms after its client left a leg arrived, less what delays of the test harness
+// and faults of the leg's link may have added: on a silent link, a request that was sent earlier arrives when the link
+// recovers.
 func (b *Book) delayAfterClientLeft(x *Exchange, l *Leg) float64 {
 	return l.ArrivedAt - x.ClientLeftAt - b.harnessDelayBetween(x.ClientLeftAt, l.ArrivedAt) - b.LinkSlackMs(x.Sidecar, l.Endpoint, l.ArrivedAt)
 }
 
-// lateBetween is for how long between two times the rehearsal itself had no core: then the sidecars may have had none either, and
-// what came is booked late.
+// harnessDelayBetween returns for how long between two times the test harness was delayed for want of a core. The
+// sidecars may have had no core then either, and events are recorded too late.
 func (b *Book) harnessDelayBetween(from, to float64) (ms float64) {
 	for _, s := range b.harnessDelays {
 		ms += max(min(s.to, to)-max(s.from, from), 0)
@@ -201,7 +207,8 @@
 	return ms
 }
 
-// Left counts exchanges whose clients left, and legs that came for these later than the rule allows.
+// CountClientsLeft counts the exchanges whose clients left, and the legs that came for these later than the rule
+// allows.
 func (b *Book) CountClientsLeft() (exchanges, legs int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -218,14 +225,15 @@
 	return exchanges, legs
 }
 
-// Excuse says that a sidecar owes no answers for exchanges in hand within a time.
+// Excuse records that a sidecar need not answer exchanges that are in progress within a period.
 func (b *Book) Excuse(sidecar int, from, to float64, why string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.excuses[sidecar] = append(b.excuses[sidecar], span{from, to, why})
 }
 
-// Told says that a sidecar was told to send nothing new to an endpoint. Back ends it.
+// RecordDrain records that a sidecar was notified to send nothing new to an endpoint. The earliest notification of a
+// drain counts, and RecordUndrain ends it.
 func (b *Book) RecordDrain(sidecar, endpoint int, at float64, source string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -239,6 +247,7 @@
 	b.drains[key] = append(b.drains[key], span{at, math.Inf(1), source})
 }
 
+// RecordUndrain records that a sidecar may send to an endpoint again.
 func (b *Book) RecordUndrain(sidecar, endpoint int, at float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -247,31 +256,36 @@
 	}
 }
 
-// Fell says that a cold endpoint was pushed over.
+// RecordCollapse records that a cold endpoint failed under overload.
 func (b *Book) RecordCollapse(endpoint int, at float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.collapses = append(b.collapses, collapse{endpoint, at})
 }
 
-// Broken is a rule that was broken, with what happened leg by leg.
+// Violation is a broken rule, with the events of the exchange leg by leg.
 type Violation struct{ Rule, Exchange, Details string }
 
-// The rules' names.
+// Names of the rules.
 const (
-	RuleNoExchangeLost, RuleNoDuplicateEffect, RuleDrainsKept, RuleNoColdCollapse, RuleLegBudget = "no exchange lost", "no effect twice", "drains kept", "no cold endpoint pushed over", "budget of legs"
-	RuleNoLegAfterClientLeft                                                                     = "nothing sent on for a client that left"
-	RuleDeadlineWithinTimeLeft                                                                   = "no deadline passed on beyond what the client has left"
-	RuleServedInTime                                                                             = "served in time while all is sound"
+	RuleNoExchangeLost         = "no exchange lost"
+	RuleNoDuplicateEffect      = "no effect twice"
+	RuleDrainsKept             = "drains kept"
+	RuleNoColdCollapse         = "no cold endpoint pushed over"
+	RuleLegBudget              = "budget of legs"
+	RuleNoLegAfterClientLeft   = "nothing sent on for a client that left"
+	RuleDeadlineWithinTimeLeft = "no deadline passed on beyond what the client has left"
+	RuleServedInTime           = "served in time while all is sound"
 )
 
-// deadlineSlack is by how many ms a deadline that is passed on may lie beyond what the client has left.
+// deadlineSlackMs is by how much a deadline that is passed on to an endpoint may exceed the time that the client has
+// left.
 const deadlineSlackMs = 150
 
-// leftGrace is the time, in ms, in which a client's leaving must be known.
+// clientLeftGraceMs is the time within which a sidecar must notice that a client has left.
 const clientLeftGraceMs = 100
 
-// Check holds the accounts against the rules. Call it when all has ended.
+// Check checks the records against the rules. It must be called after all exchanges and legs have ended.
 func (b *Book) Check() (violations []Violation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -282,7 +296,7 @@
 		}
 		for _, l := range x.legs {
 			if x.ClientLeftAt > 0 && b.delayAfterClientLeft(x, l) > clientLeftGraceMs {
-				violations = append(violations, Violation{RuleNoLegAfterClientLeft, x.ID, fmt.Sprintf("its client left at %.0f ms, a leg came %.0f ms later\n%s", x.ClientLeftAt, l.ArrivedAt-x.ClientLeftAt, b.history(x))})
+				violations = append(violations, Violation{RuleNoLegAfterClientLeft, x.ID, fmt.Sprintf("client left at %.0f ms, a leg came %.0f ms later\n%s", x.ClientLeftAt, l.ArrivedAt-x.ClientLeftAt, b.history(x))})
 				break
 			}
 		}
@@ -295,19 +309,19 @@
 	}
 	for _, l := range b.legs {
 		if l.exchange == nil {
-			violations = append(violations, Violation{RuleNoExchangeLost, l.Exchange, "a leg for an exchange that no client asked for"})
+			violations = append(violations, Violation{RuleNoExchangeLost, l.Exchange, "a leg came for an exchange that no client requested"})
 			continue
 		}
 		for _, d := range b.drains[[2]int{l.exchange.Sidecar, l.Endpoint}] {
 			late := l.ArrivedAt - d.from - b.DrainGraceMs - b.LinkSlackMs(l.exchange.Sidecar, l.Endpoint, l.ArrivedAt)
 			if late > 0 && l.ArrivedAt < d.to {
-				violations = append(violations, Violation{RuleDrainsKept, l.Exchange, fmt.Sprintf("s%d was told of %s at %.0f ms (%s); a leg came %.0f ms past the grace\n%s",
+				violations = append(violations, Violation{RuleDrainsKept, l.Exchange, fmt.Sprintf("s%d was notified of the drain of %s at %.0f ms (%s); a leg came %.0f ms after the grace period\n%s",
 					l.exchange.Sidecar, b.EndpointNames[l.Endpoint], d.from, d.reason, late, b.history(l.exchange))})
 			}
 		}
 	}
 	for _, f := range b.collapses {
-		text := fmt.Sprintf("%s was pushed over at %.0f ms; its last legs:", b.EndpointNames[f.endpoint], f.at)
+		text := fmt.Sprintf("%s was overloaded while cold and failed at %.0f ms; its last legs:", b.EndpointNames[f.endpoint], f.at)
 		last := []*Leg{}
 		for _, l := range b.legs {
 			if l.Endpoint == f.endpoint && l.ArrivedAt <= f.at {
@@ -323,6 +337,7 @@
 	return append(violations, b.checkServedShare()...)
 }
 
+// applyExcuses sets the reason why the sidecar need not answer x, if there is one.
 func (b *Book) applyExcuses(x *Exchange) {
 	until := x.DueAt + b.Products[x.Product].AbandonMs + b.AnswerGraceMs
 	for _, s := range b.excuses[x.Sidecar] {
@@ -332,23 +347,25 @@
 	}
 }
 
+// lossReason returns why x counts as lost, or an empty string if it does not.
 func (b *Book) lossReason(x *Exchange) string {
-	late := x.EndedAt - max(x.DueAt, x.SentAt) - b.Products[x.Product].AbandonMs - b.AnswerGraceMs // the client's own lateness is not the sidecar's
+	late := x.EndedAt - max(x.DueAt, x.SentAt) - b.Products[x.Product].AbandonMs - b.AnswerGraceMs // a late client is not the sidecar's fault
 	switch {
 	case x.SentAt == 0 || x.ClientLeftAt > 0:
-		return "" // no sidecar took it, or nobody waits
+		return "" // not sent to a sidecar, or the client no longer waits
 	case x.Status == 0:
 		return "no answer: " + x.AnswerFault
 	case x.Status == 409:
-		return "taken, its connection ended with no answer, and refused as a repeat when it was sent once more"
+		return "accepted, connection ended without an answer, then refused as a duplicate when it was sent again"
 	case x.AnswerFault != "":
-		return "a wrong answer: " + x.AnswerFault
+		return "wrong answer: " + x.AnswerFault
 	case late > 0:
-		return fmt.Sprintf("its answer came %.0f ms past the grace", late)
+		return fmt.Sprintf("answer came %.0f ms after the grace period", late)
 	}
 	return ""
 }
 
+// duplicateReason returns how x may have taken effect twice, or an empty string if it can't have.
 func (b *Book) duplicateReason(x *Exchange) string {
 	p, ran := b.Products[x.Product], 0
 	for _, l := range x.legs {
@@ -356,7 +373,7 @@
 			ran++
 		}
 		if p.Referenced && !l.KeyIntact {
-			return "a leg came without the mark that lets endpoints drop repeats"
+			return "a leg came without the key by which endpoints drop duplicates"
 		}
 	}
 	if p.SingleUse && ran > 1 {
@@ -365,20 +382,21 @@
 	return ""
 }
 
-// overstated looks for an attempt that told its endpoint more time than its client had left. The client sends a request after it
-// was due, and only the sidecar knows when it came: the time counts from when its last byte was sent.
+// overstatedDeadline looks for a leg that announced more time to its endpoint than its client had left. The client may
+// send a request after it was due, and only the sidecar knows when it came, so the time counts from when its last byte
+// was sent.
 func (b *Book) overstatedDeadline(x *Exchange) string {
 	for _, l := range x.legs {
 		sent := max(x.DueAt, x.SentAt)
 		left := sent + b.Products[x.Product].AbandonMs - l.ArrivedAt + b.harnessDelayBetween(sent, l.ArrivedAt)
 		if x.SentAt > 0 && l.DeadlineMs > left+deadlineSlackMs+b.LinkSlackMs(x.Sidecar, l.Endpoint, l.ArrivedAt) {
-			return fmt.Sprintf("an attempt at %.0f ms told its endpoint %.0f ms, where its client had %.0f left", l.ArrivedAt, l.DeadlineMs, left)
+			return fmt.Sprintf("a leg at %.0f ms announced a deadline of %.0f ms, its client had %.0f ms left", l.ArrivedAt, l.DeadlineMs, left)
 		}
 	}
 	return ""
 }
 
-// story is what happened to an exchange, in order.
+// history returns the events of an exchange and its legs, in order.
 func (b *Book) history(x *Exchange) string {
 	lines := []string{fmt.Sprintf("%s to s%d (%s): due at %.0f, sent %.0f, ended %.0f ms, status %d %s",
 		x.ID, x.Sidecar, b.Products[x.Product].Name, x.DueAt, x.SentAt, x.EndedAt, x.Status, x.AnswerFault)}
@@ -388,10 +406,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// edge is by how much a sidecar's window may lie off from what endpoints see of it.
+// windowSlackMs is by how much a sidecar's budget window may be offset from the window seen at the endpoints.
 const windowSlackMs = 250
 
-// budget looks at each further leg: those within the window before it against the exchanges taken in it.
+// checkLegBudget compares, at each leg beyond the first of its exchange, the number of such legs in the window that
+// ends there with the number that the exchanges of the same window allow.
 func (b *Book) checkLegBudget() (violations []Violation) {
 	if b.BudgetWindowMs <= 0 {
 		return nil
@@ -419,9 +438,9 @@
 				}
 			}
 			if allowed := b.FreeExtraLegs + b.ExtraLegRatio*float64(exchangeCount); float64(used) > math.Ceil(allowed) {
-				violations = append(violations, Violation{RuleLegBudget, l.Exchange, fmt.Sprintf("s%d: %d further legs within %.0f ms, %d exchanges, so %.1f are allowed\n%s",
+				violations = append(violations, Violation{RuleLegBudget, l.Exchange, fmt.Sprintf("s%d: %d legs beyond the first within %.0f ms, %d exchanges, so %.1f are allowed\n%s",
 					s, used, b.BudgetWindowMs, exchangeCount, allowed, b.history(l.exchange))})
-				break // the others of this sidecar follow from it
+				break // further violations of this sidecar follow from the first
 			}
 		}
 	}
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -17,7 +17,7 @@
 	return b
 }
 
-// exchange enters one that was answered, with a leg at each endpoint named.
+// addAnsweredExchange adds an exchange that was answered, with a leg for each outcome, at the two endpoints in turn.
 func addAnsweredExchange(b *Book, id string, product int, at float64, status int, ended float64, outcomes ...string) *Exchange {
 	x := &Exchange{ID: id, Product: product, DueAt: at}
 	b.AddExchange(x)
@@ -34,63 +34,63 @@
 	for _, c := range []struct {
 		name string
 		do   func(b *Book)
-		want string // "" for kept
+		want string // rule that is broken; "" for none
 	}{
-		{"all well", func(b *Book) { addAnsweredExchange(b, "x", 0, 0, 200, 20, "satisfied") }, ""},
-		{"in the grace", func(b *Book) { addAnsweredExchange(b, "x", 0, 0, 504, 449, "left") }, ""},
-		{"past the grace", func(b *Book) { addAnsweredExchange(b, "x", 0, 1, 200, 452, "satisfied") }, RuleNoExchangeLost},
+		{"success", func(b *Book) { addAnsweredExchange(b, "x", 0, 0, 200, 20, "satisfied") }, ""},
+		{"answer within the grace", func(b *Book) { addAnsweredExchange(b, "x", 0, 0, 504, 449, "left") }, ""},
+		{"answer after the grace", func(b *Book) { addAnsweredExchange(b, "x", 0, 1, 200, 452, "satisfied") }, RuleNoExchangeLost},
 		{"no answer", func(b *Book) { addAnsweredExchange(b, "x", 0, 1, 0, 20, "cut") }, RuleNoExchangeLost},
-		{"refused as a repeat", func(b *Book) { addAnsweredExchange(b, "x", 0, 1, 409, 20, "satisfied") }, RuleNoExchangeLost},
+		{"refused as a duplicate", func(b *Book) { addAnsweredExchange(b, "x", 0, 1, 409, 20, "satisfied") }, RuleNoExchangeLost},
 		{"no answer, but its sidecar was killed", func(b *Book) { addAnsweredExchange(b, "x", 0, 1, 0, 20, "cut"); b.Excuse(0, 10, 11, "killed") }, ""},
 		{"no answer, another sidecar was killed", func(b *Book) { addAnsweredExchange(b, "x", 0, 1, 0, 20, "cut"); b.Excuse(1, 10, 11, "killed") }, RuleNoExchangeLost},
 		{"no answer, its sidecar was killed long before", func(b *Book) { addAnsweredExchange(b, "x", 0, 901, 0, 920, "cut"); b.Excuse(0, 10, 11, "killed") }, RuleNoExchangeLost},
-		{"never taken", func(b *Book) { addAnsweredExchange(b, "x", 0, 0, 0, 20) }, ""},
-		{"an answer made for another", func(b *Book) {
+		{"never sent", func(b *Book) { addAnsweredExchange(b, "x", 0, 0, 0, 20) }, ""},
+		{"answer to another exchange", func(b *Book) {
 			x := addAnsweredExchange(b, "x", 0, 1, 200, 20, "satisfied")
 			x.AnswerFault = "not made for it"
 		}, RuleNoExchangeLost},
-		{"a leg for nobody", func(b *Book) { b.AddLeg(&Leg{Exchange: "z"}) }, RuleNoExchangeLost},
-		{"single-use once, turned away before", func(b *Book) { addAnsweredExchange(b, "x", 1, 0, 200, 20, "full", "satisfied") }, ""},
-		{"single-use twice", func(b *Book) { addAnsweredExchange(b, "x", 1, 0, 200, 20, "errored", "satisfied") }, RuleNoDuplicateEffect},
-		{"referenced twice, with its mark", func(b *Book) { addAnsweredExchange(b, "x", 2, 0, 200, 20, "errored", "satisfied") }, ""},
-		{"referenced without its mark", func(b *Book) { addAnsweredExchange(b, "x", 2, 0, 200, 20, "satisfied").legs[0].KeyIntact = false }, RuleNoDuplicateEffect},
-		{"told, and in the grace", func(b *Book) {
+		{"leg of an unknown exchange", func(b *Book) { b.AddLeg(&Leg{Exchange: "z"}) }, RuleNoExchangeLost},
+		{"single-use, run once after an endpoint was full", func(b *Book) { addAnsweredExchange(b, "x", 1, 0, 200, 20, "full", "satisfied") }, ""},
+		{"single-use, run twice", func(b *Book) { addAnsweredExchange(b, "x", 1, 0, 200, 20, "errored", "satisfied") }, RuleNoDuplicateEffect},
+		{"referenced, run twice with its key", func(b *Book) { addAnsweredExchange(b, "x", 2, 0, 200, 20, "errored", "satisfied") }, ""},
+		{"referenced, without its key", func(b *Book) { addAnsweredExchange(b, "x", 2, 0, 200, 20, "satisfied").legs[0].KeyIntact = false }, RuleNoDuplicateEffect},
+		{"leg within the grace of a drain", func(b *Book) {
 			b.RecordDrain(0, 0, 0, "listed")
 			addAnsweredExchange(b, "x", 0, 98, 200, 120, "satisfied")
 		}, ""},
-		{"told, and past the grace", func(b *Book) {
+		{"leg after the grace of a drain", func(b *Book) {
 			b.RecordDrain(0, 0, 0, "listed")
 			addAnsweredExchange(b, "x", 0, 102, 200, 120, "satisfied")
 		}, RuleDrainsKept},
-		{"told another sidecar", func(b *Book) {
+		{"another sidecar was notified of the drain", func(b *Book) {
 			b.RecordDrain(1, 0, 0, "listed")
 			addAnsweredExchange(b, "x", 0, 102, 200, 120, "satisfied")
 		}, ""},
-		{"told, and put back", func(b *Book) {
+		{"drain ended before the leg", func(b *Book) {
 			b.RecordDrain(0, 0, 0, "hand")
 			b.RecordUndrain(0, 0, 100)
 			addAnsweredExchange(b, "x", 0, 102, 200, 120, "satisfied")
 		}, ""},
-		{"sent on for a client that left", func(b *Book) {
+		{"leg after the client left", func(b *Book) {
 			addAnsweredExchange(b, "x", 0, 300, 200, 120, "satisfied")
 			b.exchanges["x"].ClientLeftAt = 150
 		}, RuleNoLegAfterClientLeft},
-		{"sent before its client left, on a link that was silent", func(b *Book) {
+		{"leg sent before the client left, delayed by a silent link", func(b *Book) {
 			b.LinkSlackMs = func(int, int, float64) float64 { return 100 }
 			addAnsweredExchange(b, "x", 0, 300, 200, 120, "satisfied")
 			b.exchanges["x"].ClientLeftAt = 150
 		}, ""},
-		{"sent before its client left, in a rehearsal without a core", func(b *Book) {
+		{"leg sent before the client left, delayed by the test harness", func(b *Book) {
 			b.RecordHarnessDelay(160, 250)
 			addAnsweredExchange(b, "x", 0, 300, 200, 120, "satisfied")
 			b.exchanges["x"].ClientLeftAt = 150
 		}, ""},
-		{"past the grace on a slow link", func(b *Book) {
+		{"leg after the grace of a drain, on a slow link", func(b *Book) {
 			b.LinkSlackMs = func(int, int, float64) float64 { return 10 }
 			b.RecordDrain(0, 0, 0, "listed")
 			addAnsweredExchange(b, "x", 0, 102, 200, 120, "satisfied")
 		}, ""},
-		{"pushed over", func(b *Book) { addAnsweredExchange(b, "x", 0, 0, 200, 20, "satisfied"); b.RecordCollapse(0, 10) }, RuleNoColdCollapse},
+		{"cold endpoint failed under overload", func(b *Book) { addAnsweredExchange(b, "x", 0, 0, 200, 20, "satisfied"); b.RecordCollapse(0, 10) }, RuleNoColdCollapse},
 		{"legs within the budget", func(b *Book) { addAnsweredExchange(b, "x", 0, 0, 200, 50, "errored", "errored", "satisfied") }, ""},
 		{"legs over the budget", func(b *Book) {
 			addAnsweredExchange(b, "x", 0, 0, 200, 50, "errored", "errored", "errored", "satisfied")
@@ -111,7 +111,7 @@
 func TestSpread(t *testing.T) {
 	b := newTestBook()
 	b.AddEndpoint("e2", 0)
-	b.SetInServiceUntil(2, 500) // not in service all the time
+	b.SetInServiceUntil(2, 500) // not in service throughout, so left out
 	for n := range 300 {
 		l := &Leg{Endpoint: n % 3 % 2, ArrivedAt: float64(n)}
 		b.AddLeg(l)
@@ -121,12 +121,14 @@
 	assert.InDelta(t, 4.0/3, s.MaxOverMean, 1e-9, "200 and 100")
 	assert.InDelta(t, 0.9, s.JainIndex, 1e-9)
 	assert.Equal(t, []float64{100, 150, 200}, []float64{s.MinArrivals, s.MeanArrivals, s.MaxArrivals})
-	// Of 300 thrown on two, the most is over the mean by sqrt(300)/2 * sqrt(2/pi) / 150 on the mean: half-normal.
-	assert.InDelta(t, 1+math.Sqrt(300)/2*math.Sqrt(2/math.Pi)/150, s.RandomMaxOverMean, 0.035, "four standard errors of 20 throws")
+	// With 300 arrivals distributed at random over two endpoints, the maximum exceeds the mean by a half-normal amount;
+	// relative to the mean of 150 its expectation is sqrt(300)/2 * sqrt(2/pi) / 150.
+	assert.InDelta(t, 1+math.Sqrt(300)/2*math.Sqrt(2/math.Pi)/150, s.RandomMaxOverMean, 0.035, "four standard errors of 20 trials")
 	assert.Equal(t, 2, b.MaxConcurrentLegs(0, 1000))
 }
 
-// Who was not reached and still sends is counted; who sends again because it was told so is not.
+// A sidecar that still sends after the drain is counted, whether or not it was notified; one that sends after the drain
+// ended is not.
 func TestDrainSummaries(t *testing.T) {
 	b := newTestBook()
 	for s, at := range []float64{0, 50} {
--- a/internal/records/served.go
+++ b/internal/records/served.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	minRequestsForShare = 50 // requests to a sidecar below which its share says nothing
-	maxExamples         = 5  // that a break tells
+	minRequestsForShare = 50 // with fewer requests to a sidecar, its share is not significant
+	maxExamples         = 5  // exchanges that a violation describes
 )
 
-// unserved looks for sidecars that serve less than the share of their requests in time, of those that came while endpoints, links and
-// cores were sound from when they were due until their time was over.
+// checkServedShare looks for sidecars that served less than MinServedShare of their requests in time. Only requests
+// count for which endpoints, links and cores were healthy from when they were due until their abandon time.
 func (b *Book) checkServedShare() (violations []Violation) {
 	if b.MinServedShare <= 0 {
 		return nil
@@ -36,6 +36,7 @@
 	return violations
 }
 
+// histories returns the events of the first maxExamples exchanges.
 func (b *Book) histories(all []*Exchange) string {
 	var text []string
 	for _, x := range all[:min(len(all), maxExamples)] {
--- a/internal/records/served_test.go
+++ b/internal/records/served_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A sidecar owes a share of its requests in time, of those that came while all that it depends on was sound; what came otherwise, or was
-// asked of too few, says nothing.
+// A sidecar must serve a share of its requests in time. Requests that came while one of its dependencies was not
+// healthy do not count, and a sidecar with too few requests is not judged.
 func TestServedShareWhileDependenciesAreHealthy(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -20,11 +20,11 @@
 		{"all in time", 100, 0, nil, false},
 		{"five of a hundred late", 100, 5, nil, false},
 		{"six of a hundred late", 100, 6, nil, true},
-		{"too few to say", minRequestsForShare - 1, 20, nil, false},
-		{"no share is owed", 100, 50, func(b *Book) { b.MinServedShare = 0 }, false},
-		{"endpoints were not sound", 100, 50, func(b *Book) { b.Healthy = func(int, float64, float64) bool { return false } }, false},
-		{"the rehearsal had no core", 100, 50, func(b *Book) { b.RecordHarnessDelay(0, 1e9) }, false},
-		{"refused", 100, 6, func(b *Book) { refuseFirst(b, 6) }, true},
+		{"too few requests", minRequestsForShare - 1, 20, nil, false},
+		{"no share configured", 100, 50, func(b *Book) { b.MinServedShare = 0 }, false},
+		{"endpoints were not healthy", 100, 50, func(b *Book) { b.Healthy = func(int, float64, float64) bool { return false } }, false},
+		{"the test harness had no core", 100, 50, func(b *Book) { b.RecordHarnessDelay(0, 1e9) }, false},
+		{"six of a hundred refused", 100, 6, func(b *Book) { refuseFirst(b, 6) }, true},
 	} {
 		b := newTestBook()
 		b.MinServedShare, b.BudgetWindowMs = 0.95, 0
@@ -46,14 +46,14 @@
 	}
 }
 
-// refuse has the first so many refused at once.
+// refuseFirst turns the first count exchanges into ones that were refused at once.
 func refuseFirst(b *Book, count int) {
 	for _, x := range b.exchangesInOrder[:count] {
 		x.Status, x.succeeded, x.EndedAt = 503, false, x.DueAt+1
 	}
 }
 
-// Times in which the rehearsal was late by two measures count once.
+// Periods in which the test harness was delayed count once where they overlap.
 func TestOverlappingHarnessDelaysCountOnce(t *testing.T) {
 	b := newTestBook()
 	for _, s := range [][2]float64{{10, 30}, {40, 60}, {25, 45}, {50, 65}, {100, 120}} {
--- a/internal/records/spread.go
+++ b/internal/records/spread.go
@@ -9,22 +9,27 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Spread is how evenly arrivals fell on endpoints that were in service all the while.
+// Spread describes how evenly arrivals were distributed over the endpoints that were in service throughout a period.
 type Spread struct {
-	WindowMs                               float64 // ms
-	WindowCount                            int
-	MaxOverMean                            float64 // mean over the windows
-	WorstMaxOverMean                       float64 // in the worst window
-	IdleShare                              float64 // share of endpoints with no arrival, mean over the windows
-	JainIndex                              float64 // (sum)^2 / (n sum of squares), mean over the windows
-	RandomMaxOverMean, RandomJainIndex     float64 // of the same arrivals thrown at random, mean of many throws
-	RandomIdleShare                        float64
-	MinArrivals, MeanArrivals, MaxArrivals float64 // arrivals an endpoint over the whole time
+	WindowMs          float64
+	WindowCount       int
+	MaxOverMean       float64 // arrivals at the busiest endpoint over the mean of all, mean over the windows
+	WorstMaxOverMean  float64 // the same in the worst window
+	IdleShare         float64 // share of endpoints with no arrival, mean over the windows
+	JainIndex         float64 // (sum)^2 / (n sum of squares), mean over the windows
+	RandomMaxOverMean float64 // MaxOverMean of the same arrivals distributed at random, mean of randomTrials trials
+	RandomJainIndex   float64 // JainIndex of the same trials
+	RandomIdleShare   float64 // IdleShare of the same trials
+	MinArrivals       float64 // at the least busy endpoint, over the whole period
+	MeanArrivals      float64 // per endpoint, over the whole period
+	MaxArrivals       float64 // at the busiest endpoint, over the whole period
 }
 
+// randomTrials is the number of random distributions with which the arrivals of a window are compared.
 const randomTrials = 20
 
-// Spread looks at arrivals from one time to another, in windows. Endpoints are those in service all that time.
+// Spread computes the distribution of the arrivals between two times, in windows, over the endpoints in service during
+// all of it.
 func (b *Book) Spread(from, to, window float64, seed uint64) (s Spread) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,6 +82,8 @@
 	return s
 }
 
+// evenness returns the maximum over the mean, Jain's fairness index, the share of idle endpoints and the sum of arrival
+// counts.
 func evenness(c []float64) (most, jain, idle, sum float64) {
 	squares := 0.0
 	for _, v := range c {
@@ -92,15 +99,22 @@
 	return most / (sum / n), sum * sum / (n * squares), idle / n, sum
 }
 
-// Service is how a product's exchanges, or all, fared within a time.
+// Service counts the outcomes of the exchanges of one product, or of all, that were due within a period.
 type Service struct {
-	Requests, Succeeded, InTime, Shed, Failed, Excused, NotSent int
-	P50Ms, P99Ms                                                float64 // ms from when it was due, of the satisfied
-	Legs                                                        int
-	NewConnections                                              int // legs that opened a connection
+	Requests       int
+	Succeeded      int     // answered correctly before the abandon time and its grace
+	InTime         int     // of those that succeeded, within the expected time
+	Shed           int     // refused with 503 or 429
+	Failed         int     // ended in any other way that the sidecar is responsible for
+	Excused        int     // neither succeeded nor shed, and the sidecar is excused
+	NotSent        int     // never sent completely to a sidecar
+	P50Ms          float64 // latency since the due time, of those that succeeded
+	P99Ms          float64
+	Legs           int
+	NewConnections int // legs that opened a connection
 }
 
-// Service counts exchanges due within a time; product -1 for all.
+// Service counts the exchanges due within a period; product -1 stands for all products.
 func (b *Book) Service(from, to float64, product int) (s Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -138,14 +152,15 @@
 	return s
 }
 
-// Line is one product's or endpoint's figures in a window, for tables and charts.
+// WindowFigures holds the figures of one window, for tables and charts.
 type WindowFigures struct {
 	From          float64
-	ArrivalCounts []float64 // arrivals by endpoint
+	ArrivalCounts []float64 // by endpoint
 	Service
 }
 
-// OwnLateness is by how much the clients sent later than was due, at a quantile from 0 to 100: the rehearsal's own fault.
+// HarnessSendDelay returns by how much clients sent later than was due, at a quantile from 0 to 100. This delay is
+// caused by the test harness, not by the sidecars.
 func (b *Book) HarnessSendDelay(quantile float64) (ms float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -158,7 +173,7 @@
 	return float64(delays.ValueAtQuantile(quantile)) / 1000
 }
 
-// Counts are the arrivals at each endpoint within a time.
+// ArrivalCounts returns the number of arrivals at each endpoint within a period.
 func (b *Book) ArrivalCounts(from, to float64) []float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -171,7 +186,7 @@
 	return counts
 }
 
-// Lines are the whole time in windows.
+// FiguresByWindow divides a run of the given length into windows and returns the figures of each.
 func (b *Book) FiguresByWindow(length, window float64) (all []WindowFigures) {
 	for from := 0.0; from < length; from += window {
 		all = append(all, WindowFigures{From: from, Service: b.Service(from, from+window, -1), ArrivalCounts: b.ArrivalCounts(from, from+window)})
@@ -179,17 +194,18 @@
 	return all
 }
 
-// Outage is an endpoint that sidecars were told to send nothing new to.
+// DrainSummary summarizes the drain of one endpoint from one source of notification.
 type DrainSummary struct {
-	Endpoint                        string
-	Source                          string
-	Notified                        int // sidecars
-	FirstNotifiedAt, LastNotifiedAt float64
-	LateSenders                     int // sidecars that sent there after the last was told and the grace, until the first was told otherwise
-	LateLegs                        int // that these sent
+	Endpoint        string
+	Source          string
+	Notified        int // sidecars
+	FirstNotifiedAt float64
+	LastNotifiedAt  float64
+	LateSenders     int // sidecars whose legs arrived after the last notification and the grace, until the drain ended for the first
+	LateLegs        int // legs that these sent in that period
 }
 
-// Outages are all of them, by endpoint and by how it was told.
+// DrainSummaries returns a summary for each drained endpoint and source of notification, in order of time.
 func (b *Book) DrainSummaries() (all []DrainSummary) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -207,7 +223,7 @@
 			}
 			o.Notified++
 			o.FirstNotifiedAt, o.LastNotifiedAt = min(o.FirstNotifiedAt, d.from), max(o.LastNotifiedAt, d.from)
-			until[key{k[1], d.reason}] = min(until[key{k[1], d.reason}], d.to) // then it comes back
+			until[key{k[1], d.reason}] = min(until[key{k[1], d.reason}], d.to) // from then on the endpoint may be sent to again
 		}
 	}
 	for k, o := range summaries {
@@ -227,13 +243,14 @@
 	return all
 }
 
-// MostHeld is the most legs that one endpoint held at once, within a time.
+// MaxConcurrentLegs returns the largest number of legs in progress at one endpoint, of those that arrived within a
+// period.
 func (b *Book) MaxConcurrentLegs(from, to float64) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	type change struct {
-		at float64
-		by int
+		at    float64
+		delta int
 	}
 	changes, most := make([][]change, len(b.EndpointNames)), 0
 	for _, l := range b.legs {
@@ -253,11 +270,11 @@
 				}
 				return 1
 			}
-			return a.by - o.by
+			return a.delta - o.delta
 		})
 		open := 0
 		for _, s := range list {
-			open += s.by
+			open += s.delta
 			most = max(most, open)
 		}
 	}
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,5 +1,6 @@
-// Package report writes what a rehearsal showed: tables (CSV), charts (SVG) and one page that holds all of it. A folder is
-// written beside its place and moved there when it is whole: half a report never looks like one.
+// Package report writes the results of a scenario run as tables (CSV), charts (SVG) and one HTML page with all of them.
+// The folder is written under a temporary name and renamed when it is complete, so an incomplete report is never taken
+// for a report.
 package report
 
 import (
@@ -20,14 +21,14 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Table is rows under a head; the first column names the row.
+// Table is a table with a header row; the first column names each row.
 type Table struct {
 	Name, Title string
 	Head        []string
 	Rows        [][]string
 }
 
-// Text is the table for a terminal.
+// Text formats the table for a terminal, with aligned columns.
 func (t Table) Text() string {
 	widths := make([]int, len(t.Head))
 	all := append([][]string{t.Head}, t.Rows...)
@@ -50,19 +51,19 @@
 	return b.String()
 }
 
-// Chart is lines over a common axis.
+// Chart is a set of lines over a common x axis.
 type Chart struct {
 	Name, Title, X, Y string
 	Lines             []Line
 }
 
-// Line is one of a chart's.
+// Line is one line of a Chart. A line without a name is left out of the legend.
 type Line struct {
 	Name string
 	X, Y []float64
 }
 
-// SVG draws it.
+// SVG renders the chart.
 func (c Chart) SVG() ([]byte, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
@@ -92,7 +93,7 @@
 	return b.Bytes(), err
 }
 
-// Report is a whole one.
+// Report is the content of a report.
 type Report struct {
 	Title    string
 	Verdict  string // one line
@@ -101,12 +102,12 @@
 	Charts   []Chart
 	Events   []string
 	Broken   []string
-	Scenario string // the file's text
+	Scenario string // text of the scenario file
 }
 
-var writeFile = os.WriteFile // a seam for tests
+var writeFile = os.WriteFile // replaced in tests
 
-// Write makes the folder dir, which must not be there.
+// Write writes the report to the folder dir, which must not exist.
 func (r *Report) Write(dir string) (err error) {
 	if _, err := os.Stat(dir); err == nil {
 		return fmt.Errorf("%s is there already", dir)
@@ -170,14 +171,14 @@
 {{range .R.Broken}}<pre>{{.}}</pre>{{end}}
 {{range .R.Tables}}<h2>{{.Title}}</h2><table><tr>{{range .Head}}<th>{{.}}{{end}}{{range .Rows}}<tr>{{range .}}<td>{{.}}{{end}}{{end}}</table>{{end}}
 {{range .SVG}}<div>{{.}}</div>{{end}}
-<h2>What was done</h2><ul>{{range .R.Events}}<li>{{.}}{{end}}</ul>
+<h2>Events</h2><ul>{{range .R.Events}}<li>{{.}}{{end}}</ul>
 <h2>Scenario</h2><pre>{{.R.Scenario}}</pre></html>
 `))
 
-// F writes a figure with so many digits behind the point.
+// FormatFloat formats v with the given number of decimals.
 func FormatFloat(v float64, digits int) string { return strconv.FormatFloat(v, 'f', digits, 64) }
 
-// ReadTable reads one that was written.
+// ReadTable reads a table that Write has written.
 func ReadTable(path string) (t Table, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -186,7 +187,7 @@
 	defer f.Close()
 	rows, err := csv.NewReader(f).ReadAll()
 	if err != nil || len(rows) == 0 {
-		return t, fmt.Errorf("%s: not a table: %w", path, err)
+		return t, fmt.Errorf("%s: not a CSV table: %w", path, err)
 	}
 	name := strings.TrimSuffix(filepath.Base(path), ".csv")
 	return Table{Name: name, Title: name, Head: rows[0], Rows: rows[1:]}, nil
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -28,10 +28,10 @@
 	table, err := ReadTable(filepath.Join(dir, "t.csv"))
 	require.NoError(t, err)
 	assert.Equal(t, sample.Tables[0].Rows, table.Rows)
-	assert.ErrorContains(t, sample.Write(dir), "there already", "no report is written over")
+	assert.ErrorContains(t, sample.Write(dir), "there already", "an existing report is not overwritten")
 }
 
-// A disk that is full at any of the files leaves no half report that looks whole.
+// If the disk is full while any of the files is written, no incomplete report is left behind.
 func TestFullDisk(t *testing.T) {
 	defer func() { writeFile = os.WriteFile }()
 	for last := range 4 {
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -1,5 +1,6 @@
-// Package soak draws rehearsals with overlapping faults from seeds, plays them and reduces one that breaks a rule to the faults
-// that it needs. The same seed draws the same rehearsal. What a rehearsal shows is judged by internal/rig and internal/records.
+// Package soak generates scenarios with overlapping faults from seeds, runs them, and reduces a scenario that breaks a
+// rule to the faults that it needs. The same seed always gives the same scenario. Packages rig and records run a
+// scenario and check the rules.
 package soak
 
 import (
@@ -13,21 +14,21 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-// Sizes of a drawn rehearsal.
+// Sizes of a generated scenario.
 const (
 	lengthSeconds          = 16.0
 	minSidecars            = 3
 	maxSidecars            = 12
-	maxSidecarsLarge       = 100 // with large fleets
+	maxSidecarsLarge       = 100 // when large fleets are requested
 	minEndpoints           = 5
 	maxEndpoints           = 12
-	fleetRequestsPerSecond = 150.0 // of the whole fleet
+	fleetRequestsPerSecond = 150.0 // divided by the number of sidecars
 	workMs                 = 8.0
-	lastFaultSeconds       = 11.0 // later ones would have no time to show
-	floodSocketLimit       = 256  // of each sidecar, in rehearsals with a crowd
+	lastFaultSeconds       = 11.0 // the effects of later faults would not show before the end
+	floodSocketLimit       = 256  // limit of each sidecar, in scenarios with a connection flood
 )
 
-// Draw is the rehearsal of a seed.
+// Draw generates the scenario of a seed.
 func Draw(seed uint64, large bool) (*scenario.Scenario, error) {
 	d := &generator{Rand: rand.New(rand.NewPCG(seed, 50))}
 	d.scenario = scenario.Scenario{Title: fmt.Sprintf("soak, seed %d", seed), Seed: seed, Length: lengthSeconds, Phases: []float64{0, lengthSeconds}}
@@ -51,29 +52,34 @@
 	return scenario.Parse(fmt.Sprintf("seed-%d.toml", seed), text)
 }
 
-// Text is a rehearsal as a file that lab run plays.
+// Text encodes a scenario as a file that lab run accepts.
 func Text(s *scenario.Scenario) ([]byte, error) {
 	var text bytes.Buffer
 	err := toml.NewEncoder(&text).Encode(s)
 	return text.Bytes(), err
 }
 
+// generator makes the random choices of one scenario. Their order determines the scenario of a seed, so it must not
+// change.
 type generator struct {
 	*rand.Rand
-	scenario                            scenario.Scenario
-	drainingEndpoints, stayingEndpoints []int // endpoints: what drains does not crash, for then it would be listed in service again
+	scenario          scenario.Scenario
+	drainingEndpoints []int // by number; they never crash, since an endpoint that restarts would be listed in service again
+	stayingEndpoints  []int // by number; endpoints that are not drained
 }
 
-// hundredth rounds what stands in the file.
+// roundToHundredth rounds values that are written to the file.
 func roundToHundredth(v float64) float64 { return math.Round(100*v) / 100 }
 
-// between draws from a range, to a hundredth.
+// uniform draws a value from a range, rounded to a hundredth.
 func (d *generator) uniform(low, high float64) float64 {
 	return roundToHundredth(low + d.Float64()*(high-low))
 }
 
+// withProbability returns true with probability p.
 func (d *generator) withProbability(p float64) bool { return d.Float64() < p }
 
+// drawFleet chooses the size of the fleet and its limits on legs.
 func (d *generator) drawFleet(large bool) {
 	sidecars := minSidecars + d.IntN(maxSidecars-minSidecars+1)
 	if large {
@@ -88,6 +94,7 @@
 	}
 }
 
+// drawProducts adds one product for each kind of effect.
 func (d *generator) drawProducts() {
 	for _, effect := range []string{"replayable", "single-use", "referenced"} {
 		abandon := math.Round(d.uniform(300, 2500))
@@ -96,6 +103,7 @@
 	}
 }
 
+// drawEndpoints chooses the group of endpoints, and which of them may be drained.
 func (d *generator) drawEndpoints() {
 	group := scenario.Group{Name: "e", Count: minEndpoints + d.IntN(maxEndpoints-minEndpoints+1), Cores: 2, Slots: 4, QueueSize: 100, MaxConnections: 2000}
 	if d.withProbability(0.3) {
@@ -104,7 +112,7 @@
 	if d.withProbability(0.3) {
 		group.PauseInterval, group.PauseLength = 3, 60
 	}
-	if d.withProbability(0.5) { // one that starts can take a few requests a second only, less than its part of the load
+	if d.withProbability(0.5) { // an endpoint that starts takes only a few requests per second, less than its share of the load
 		group.ColdFrom, group.ColdPeriod, group.FallMultiple, group.FallWindow, group.DownTime, group.FallSlack = 0.01, 60, 2, 1, 3, true
 	}
 	d.scenario.Endpoints = []scenario.Group{group}
@@ -115,9 +123,11 @@
 
 func (d *generator) addFault(f scenario.Fault) { d.scenario.Faults = append(d.scenario.Faults, f) }
 
+// faultTime draws the time of a fault.
 func (d *generator) faultTime(latest float64) float64 { return d.uniform(0.5, latest) }
 
-// some draws sidecars or endpoints by their letter, no more than a share of them.
+// pickNames picks the names of some sidecars (prefix s) or endpoints (prefix e): at least one, and at most a share of
+// them.
 func (d *generator) pickNames(prefix string, total int, maxShare float64) (names []string) {
 	for _, n := range d.Perm(total)[:max(1, int(float64(total)*maxShare*d.Float64()))] {
 		names = append(names, fmt.Sprint(prefix, n))
@@ -125,7 +135,8 @@
 	return names
 }
 
-// processFaults ends, replaces, halts and reconfigures processes. One process is ended or replaced once at most.
+// processFaults restarts, upgrades, kills, stops and reconfigures processes, and has clients leave. A process is
+// restarted, upgraded or killed at most once.
 func (d *generator) processFaults() {
 	all := d.Perm(d.scenario.Fleet.Sidecars)
 	ends := []string{"restart", "upgrade", "kill", "restart", "upgrade"}
@@ -148,7 +159,7 @@
 	}
 }
 
-// signalSeries sends SIGHUP several times a second, to some in the middle of their restart too.
+// reloadSeries sends SIGHUP several times per second, which may also hit processes that are restarting.
 func (d *generator) reloadSeries() {
 	if !d.withProbability(0.4) {
 		return
@@ -159,7 +170,7 @@
 	}
 }
 
-// crowd has idle clients fill the descriptors of some sidecars.
+// connectionFlood has idle clients use up the file descriptors of some sidecars.
 func (d *generator) connectionFlood() {
 	if !d.withProbability(0.25) {
 		return
@@ -168,8 +179,9 @@
 	d.addFault(scenario.Fault{Kind: "crowd", At: d.faultTime(6), Duration: d.uniform(2, 6), Targets: d.pickNames("s", min(d.scenario.Fleet.Sidecars, 3), 1), Size: floodSocketLimit * 1.2})
 }
 
-// busyDiscovery leaves discovery little capacity to spare, for the whole rehearsal, through an outage, a restart of all or spoilt
-// answers, and has endpoints drain meanwhile. The work fits into the time in which a change has to be known.
+// busyDiscovery leaves discovery little spare capacity for the whole scenario, adds an outage, faulty answers or a move
+// of all sidecars to another discovery, and has endpoints drain meanwhile. One call of each sidecar still fits into the
+// time within which sidecars must know a change.
 func (d *generator) busyDiscovery() {
 	roundSeconds, at := d.uniform(3.5, 4.8), d.faultTime(2)
 	switch d.IntN(3) {
@@ -195,7 +207,8 @@
 	}
 }
 
-// discoveryFaults take discovery away, spoil its answers and move it, and have endpoints drain around these times.
+// discoveryFaults makes discovery unavailable, corrupts its answers and moves sidecars to another discovery, and has
+// endpoints drain around these times.
 func (d *generator) discoveryFaults() {
 	at := d.faultTime(3)
 	if d.withProbability(0.6) {
@@ -224,6 +237,7 @@
 	}
 }
 
+// endpointFaults makes endpoints hang, slow down, answer with errors or crash.
 func (d *generator) endpointFaults() {
 	for _, f := range []scenario.Fault{{Kind: "hang"}, {Kind: "slow", Size: d.uniform(2, 8)}, {Kind: "errors", Size: d.uniform(0.1, 0.7)}, {Kind: "crash"}} {
 		if d.withProbability(0.4) {
@@ -236,6 +250,7 @@
 	}
 }
 
+// linkFaults disturbs links from sidecars to endpoints and to discovery.
 func (d *generator) linkFaults() {
 	for _, f := range []scenario.Fault{{Kind: "cut"}, {Kind: "silent"}, {Kind: "delay", Size: d.uniform(5, 80)}, {Kind: "jitter", Size: d.uniform(5, 50)},
 		{Kind: "lose", Size: d.uniform(0.02, 0.3), Direction: "back"}, {Kind: "reset"}} {
--- a/internal/soak/profiles.go
+++ b/internal/soak/profiles.go
@@ -9,23 +9,24 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-// soundShare is the share of requests that a sidecar serves in time while its endpoints, links and cores are sound, in profiles that judge
-// service too.
+// minServedShare is the share of requests that a sidecar must serve in time while its endpoints, links and cores are
+// healthy, in profiles that also judge service.
 const minServedShare = 0.95
 
-// General is the profile of Draw: every kind of fault, judged by rules alone.
+// General is the profile of Draw: all kinds of faults, with no rule on the share of requests served in time.
 const General = "general"
 
-// profiles draw what one kind of trouble leaves of service. Endpoints and links stay sound in them, so that service is judged throughout.
+// profiles maps the names of profiles to the functions that draw their faults. Each covers one kind of fault; endpoints
+// and links stay healthy, so that service can be judged throughout.
 var profiles = map[string]func(d *generator){"crowds": (*generator).connectionFloods, "handovers": (*generator).handovers, "lists": (*generator).listChanges}
 
-// Profiles are the names that DrawProfile knows.
+// Profiles returns the names of the profiles that DrawProfile accepts.
 func Profiles() []string { return append([]string{General}, slices.Sorted(maps.Keys(profiles))...) }
 
-// profileStream is the second half of the seeds of profiles, so that they draw otherwise than Draw does.
+// profileSeedStream is the second word of the random seed in profiles, so that they draw other values than Draw.
 const profileSeedStream = 58
 
-// DrawProfile is the rehearsal of a seed in a profile.
+// DrawProfile generates the scenario of a seed in a profile.
 func DrawProfile(profile string, seed uint64, large bool) (*scenario.Scenario, error) {
 	if profile == General || profile == "" {
 		return Draw(seed, large)
@@ -52,14 +53,14 @@
 	return scenario.Parse(fmt.Sprintf("%s-%d.toml", profile, seed), text)
 }
 
-// Crowds of half to four times the descriptors.
+// Sizes of connection floods, relative to the limit on descriptors of a sidecar.
 const (
 	minFloodRatio = 0.5
 	maxFloodRatio = 4.0
 )
 
-// crowds fills the descriptors of one sidecar or two, once or twice, with idle clients of each kind, beside hand-overs, new configurations
-// and trouble of discovery.
+// connectionFloods fills the descriptors of one or two sidecars with idle clients of some kind, once or twice, and adds
+// handovers, configuration reloads and discovery faults.
 func (d *generator) connectionFloods() {
 	d.scenario.Fleet.Sockets = []int{192, floodSocketLimit, 2 * floodSocketLimit}[d.IntN(3)]
 	who := d.pickNames("s", min(d.scenario.Fleet.Sidecars, 3), 1)
@@ -79,14 +80,15 @@
 	}
 }
 
-// handovers replaces processes near everything that discovery can do: once, twice in a row, with a new process that dies before it has
-// heard, with new configurations, or while each answer of discovery takes so long that the new process takes the clients before its own.
+// handovers replaces processes during discovery faults: once, twice in succession, with a new process that dies before
+// it has received a list, with configuration reloads, or with discovery answers so slow that the new process accepts
+// clients before it has received its own list.
 func (d *generator) handovers() {
 	if d.withProbability(0.4) {
 		d.slowDiscovery()
 		return
 	}
-	const secondUpgradeDelay = 6.5 // seconds to a second hand-over: the first has its yes by then
+	const secondUpgradeDelay = 6.5 // seconds until a second handover; the first has completed by then
 	upgradeCount := 1 + d.IntN(min(3, d.scenario.Fleet.Sidecars))
 	for _, n := range d.Perm(d.scenario.Fleet.Sidecars)[:upgradeCount] {
 		f := scenario.Fault{Kind: "upgrade", At: d.uniform(0.5, 4), Targets: []string{fmt.Sprint("s", n)}}
@@ -112,8 +114,8 @@
 	}
 }
 
-// fitRound leaves discovery the capacity for the calls of new processes too: else the work of a round would not fit into the time in which a
-// change has to be known.
+// fitDiscoveryRound scales the work of a discovery call down, so that discovery also has capacity for the calls of new
+// processes. Otherwise the calls of all processes would not fit into the time within which sidecars must know a change.
 func (d *generator) fitDiscoveryRound() {
 	sidecars := float64(d.scenario.Fleet.Sidecars)
 	calls := sidecars
@@ -129,11 +131,12 @@
 	}
 }
 
-// slowAnswers has discovery take some seconds for each call, so that of two new processes one at least hears its list later than it takes
-// the clients. All other watches are open and stay so, and endpoints drain while the processes before these still hear of it.
+// slowDiscovery has discovery take a few seconds per call, so that at least one of two new processes receives its list
+// after it accepts the clients. All other watches are open and stay open, and endpoints drain while the predecessors of
+// the new processes are still notified of it.
 func (d *generator) slowDiscovery() {
 	const (
-		watchesOpenAt = 2.5 // seconds until every first call is answered: sidecars spread them over two
+		watchesOpenAt = 2.5 // seconds until every first call is answered: sidecars spread these calls over 2 s
 		lastDrain     = 5.5
 	)
 	answerSeconds := d.uniform(3, 4)
@@ -146,18 +149,19 @@
 	}
 }
 
-// Sizes of the rehearsals that lists draws. Each sidecar has to send often enough for a leg some tens of milliseconds past the grace.
+// Sizes of the scenarios of listChanges. Each sidecar must send often enough that a late leg shows within some tens of
+// milliseconds after the grace.
 const (
 	minListSidecars       = 12
 	maxListSidecars       = 40
-	listRequestsPerSecond = 15.0  // requests a second of a sidecar
-	listWorkMs            = 4.0   // of a request
-	listDrainGraceMs      = 500.0 // after which a leg is late
-	maxFaultyAnswers      = 8     // answers in a row
+	listRequestsPerSecond = 15.0  // of each sidecar
+	listWorkMs            = 4.0   // of each request
+	listDrainGraceMs      = 500.0 // later legs to a draining endpoint break the rule
+	maxFaultyAnswers      = 8     // consecutive
 )
 
-// lists has endpoints drain one after another before a discovery with little capacity to spare, which ends watches in place of telling, with
-// spoilt answers in a row, an outage, new configurations and hand-overs.
+// listChanges has endpoints drain one after another while discovery has little spare capacity and ends watches instead
+// of sending the change. It adds consecutive faulty answers, an outage, moves to another discovery and handovers.
 func (d *generator) listChanges() {
 	f := &d.scenario.Fleet
 	if f.Sidecars <= maxSidecars {
@@ -189,7 +193,7 @@
 	}
 }
 
-// drainsInTurn drains or replaces three to eight endpoints, from a quarter of a second to two seconds apart.
+// drainSequence drains or replaces three to eight endpoints, at intervals of 0.25 to 2 s.
 func (d *generator) drainSequence(endpoints int) {
 	at, order := d.uniform(1.5, 3), d.Perm(endpoints)
 	for _, n := range order[:3+d.IntN(6)] {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -14,19 +14,20 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-// playsToReduce bounds the plays that look for the least schedule of one break.
+// maxReductionRuns bounds the runs that search for the smallest schedule that still breaks a rule.
 const maxReductionRuns = 20
 
-// Player plays drawn rehearsals with one program.
+// Runner runs generated scenarios with one program.
 type Runner struct {
 	Program  string
-	Env      []string // more, for the program
-	Large    bool     // fleets of up to 100
-	Profile  string   // of Profiles; General if left out
+	Env      []string // additional environment variables of the program
+	Large    bool     // fleets of up to 100 sidecars
+	Profile  string   // one of Profiles; General if empty
 	Progress func(text string)
 }
 
-// Verdict is what the play of one seed showed. A seed that could not be played has Err, and is no pass.
+// Result is the result of the run of one seed. If the scenario could not be run, Err is set and the result is not a
+// pass.
 type Result struct {
 	Seed       uint64
 	Violations []records.Violation
@@ -37,7 +38,7 @@
 	events     []rig.Event
 }
 
-// Rules are the names of the rules that were broken, each once.
+// BrokenRules returns the names of the rules that were broken, each once.
 func (r *Result) BrokenRules() (names []string) {
 	for _, b := range r.Violations {
 		if !slices.Contains(names, b.Rule) {
@@ -47,22 +48,22 @@
 	return names
 }
 
-// Failed tells that a rule was broken or the seed could not be played.
+// Failed reports whether a rule was broken or the scenario could not be run.
 func (r *Result) Failed() bool { return r.Err != nil || len(r.Violations) > 0 }
 
-// Close removes start files and logs.
+// Close removes the start files and logs of the run.
 func (r *Result) Close() { os.RemoveAll(r.dir) }
 
-// PlaySeed draws a seed's rehearsal and plays it.
+// RunSeed generates the scenario of a seed and runs it.
 func (r *Runner) RunSeed(ctx context.Context, seed uint64) *Result {
 	s, err := DrawProfile(r.Profile, seed, r.Large)
 	if err != nil {
-		return &Result{Seed: seed, Err: fmt.Errorf("seed %d draws no rehearsal: %w", seed, err)}
+		return &Result{Seed: seed, Err: fmt.Errorf("seed %d: generated scenario is invalid: %w", seed, err)}
 	}
 	return r.Run(ctx, s)
 }
 
-// Play plays a rehearsal.
+// Run runs a scenario and checks the rules.
 func (r *Runner) Run(ctx context.Context, s *scenario.Scenario) *Result {
 	result := &Result{Seed: s.Seed, Scenario: s}
 	if result.dir, result.Err = os.MkdirTemp("", "soak-"); result.Err != nil {
@@ -78,8 +79,8 @@
 	return result
 }
 
-// Reduce drops faults one by one while the same rule is still broken, and returns the last play that broke it. What breaks in some
-// plays only keeps more faults than it needs.
+// Reduce removes faults one at a time as long as the same rule is still broken, and returns the last run that broke it.
+// If the rule is broken in some runs only, more faults may remain than are needed.
 func (r *Runner) Reduce(ctx context.Context, original *Result) *Result {
 	if len(original.Violations) == 0 {
 		return original
@@ -92,7 +93,7 @@
 		if result.Err == nil && slices.Contains(result.BrokenRules(), rule) {
 			reduced.Close()
 			reduced = result
-			r.reportProgress(fmt.Sprintf("seed %d breaks %q without %s too", original.Seed, rule, original.Scenario.Faults[n].Kind))
+			r.reportProgress(fmt.Sprintf("seed %d still breaks %q without %s", original.Seed, rule, original.Scenario.Faults[n].Kind))
 		} else {
 			result.Close()
 		}
@@ -106,7 +107,7 @@
 	}
 }
 
-// Write keeps the schedule, what was done and what broke in one order of time, and the logs.
+// Write writes the schedule, a timeline of the run's events followed by the violations, and the logs to a folder.
 func (r *Result) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -15,6 +15,7 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
+// buildProgram builds the sidecar with the given build tags and returns the path of the binary.
 func buildProgram(t *testing.T, tags string) string {
 	path := filepath.Join(t.TempDir(), "lynxjunction")
 	out, err := exec.Command("go", "build", "-o", path, "-tags", tags, "github.com/lynxjunction/lynxjunction/cmd/lynxjunction").CombinedOutput()
@@ -22,7 +23,7 @@
 	return path
 }
 
-// Every seed draws a rehearsal that can be, the same each time, and other seeds draw others.
+// Every seed gives a valid scenario, always the same one, and different seeds give different scenarios.
 func TestDraw(t *testing.T) {
 	texts := map[string]bool{}
 	for seed := range uint64(300) {
@@ -37,13 +38,14 @@
 			assert.Equal(t, string(text), string(same))
 			texts[string(text)] = true
 			read, err := scenario.Parse("again.toml", text)
-			require.NoError(t, err, "what is kept of seed %d can be played again", seed)
+			require.NoError(t, err, "the written schedule of seed %d can be run again", seed)
 			assert.Len(t, read.Faults, len(s.Faults))
 		}
 	}
 	assert.Len(t, texts, 600)
 }
 
+// checkNoViolations runs a seed and reports every rule that it breaks.
 func checkNoViolations(t *testing.T, program string, seed uint64) {
 	v := (&Runner{Program: program}).RunSeed(t.Context(), seed)
 	defer v.Close()
@@ -54,25 +56,28 @@
 	}
 }
 
-// Where idle clients fill the descriptors, requests wait to be accepted, and the time that they have waited is not known.
+// While idle clients hold all descriptors, requests wait to be accepted, and the sidecar can't know how long they have
+// waited.
 func TestSoakWithConnectionFloods(t *testing.T) {
 	healthy := buildProgram(t, "")
 	for _, seed := range []uint64{1, 2, 3} {
-		t.Run("sound", func(t *testing.T) {
+		t.Run("no defect", func(t *testing.T) {
 			t.Parallel()
 			checkNoViolations(t, healthy, seed)
 		})
 	}
 }
 
-// A hand-over while discovery is away or its answers are faulty: the new process serves by the list from before.
+// After a handover while discovery is down or its answers are faulty, the new process serves from its predecessor's
+// list.
 func TestSoakWithHandover(t *testing.T) { checkNoViolations(t, buildProgram(t, ""), 8) }
 
-// Fixed seeds keep every rule; a program with a defect does not, and what broke is kept.
+// Fixed seeds keep every rule with the regular program. A program with an injected defect breaks a rule, and the
+// schedule, timeline and logs are written.
 func TestSoak(t *testing.T) {
 	healthy, defective := buildProgram(t, ""), buildProgram(t, "seeded")
-	for _, seed := range []uint64{6, 10, 11} { // 10 has a discovery with little capacity
-		t.Run("sound", func(t *testing.T) {
+	for _, seed := range []uint64{6, 10, 11} { // in seed 10, discovery has little capacity
+		t.Run("no defect", func(t *testing.T) {
 			t.Parallel()
 			checkNoViolations(t, healthy, seed)
 		})
@@ -95,16 +100,16 @@
 	}
 }
 
-// Profiles draw one kind of trouble while endpoints and links stay sound, and judge service too: 95 % of the requests in time beside
-// crowds of half to four times the descriptors, and around hand-overs. On the version before incident 0018 seven of the first eight seeds
-// of crowds broke that, and the rule on deadlines.
+// Profiles inject one kind of fault while endpoints and links stay healthy, and also judge service: 95 % of the
+// requests in time during connection floods of half to four times the descriptors, and during handovers. On the version
+// before incident 0018, seven of the first eight seeds of profile "crowds" broke this rule and the rule on deadlines.
 func TestSoakProfiles(t *testing.T) {
 	healthy := buildProgram(t, "")
 	for _, c := range []struct {
 		profile string
 		seed    uint64
 	}{{"crowds", 1}, {"crowds", 8}, {"handovers", 4}, {"handovers", 5}} {
-		t.Run(c.profile, func(t *testing.T) { // one after the other: a crowd is a thousand connections of the test's own
+		t.Run(c.profile, func(t *testing.T) { // not in parallel: a flood opens a thousand connections from the test process
 			v := (&Runner{Program: healthy, Profile: c.profile}).RunSeed(t.Context(), c.seed)
 			defer v.Close()
 			require.NoError(t, v.Err)
@@ -115,7 +120,8 @@
 	}
 }
 
-// Every profile draws rehearsals that can be, the same each time, from half to four times the descriptors; Draw's are its own.
+// Every profile gives valid scenarios, always the same for a seed, with connection floods of half to four times the
+// descriptors. Only the general profile has no rule on the share of requests served in time.
 func TestDrawProfile(t *testing.T) {
 	least, most := math.Inf(1), 0.0
 	for _, profile := range Profiles() {
@@ -141,7 +147,8 @@
 	assert.ErrorContains(t, err, "no profile")
 }
 
-// What lists draws has a discovery with little to spare that ends its watches, and between them all that can meet it.
+// In every scenario of profile "lists", discovery has little spare capacity and ends its watches; over many seeds, all
+// other faults of the profile occur.
 func TestDrawLists(t *testing.T) {
 	kinds, spoilt, sidecarCounts := map[string]int{}, map[float64]bool{}, map[int]bool{}
 	for seed := range uint64(300) {
@@ -163,14 +170,14 @@
 		}
 	}
 	assert.Len(t, sidecarCounts, 29, "12 to 40")
-	assert.Len(t, spoilt, 8, "1 to 8 in a row")
+	assert.Len(t, spoilt, 8, "1 to 8 consecutive answers")
 	assert.Equal(t, []int{300, 300}, []int{kinds["list-busy"], kinds["list-ends"]})
 	for _, what := range []string{"list-spoil", "list-off", "move", "upgrade", "drain", "replace"} {
 		assert.Greater(t, kinds[what], 80, what)
 	}
 }
 
-// What can't be played is no pass.
+// A scenario that can't be run is not a pass.
 func TestFailedRunIsNotAPass(t *testing.T) {
 	v := (&Runner{Program: filepath.Join(t.TempDir(), "none")}).RunSeed(t.Context(), 1)
 	defer v.Close()
