--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -221,7 +221,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &rig.Rig{Program: opts.program, Other: opts.upgradeProgram, Dir: dir, Say: logProgress}
+	r := &rig.Rig{Program: opts.program, UpgradeProgram: opts.upgradeProgram, Dir: dir, OnEvent: logProgress}
 	result, err := r.Run(ctx, s)
 	if err != nil || opts.keepAlways || opts.keepOnViolation && len(result.Broken) > 0 {
 		opts.keptDir = dir
--- a/cmd/lab/summary.go
+++ b/cmd/lab/summary.go
@@ -59,7 +59,7 @@
 		r.Tables = append(r.Tables, t)
 	}
 	if result != nil {
-		r.Facts = append(r.Facts, [2]string{"all processes ready after", result.UpTook.String()})
+		r.Facts = append(r.Facts, [2]string{"all processes ready after", result.StartDuration.String()})
 		peak, cpu, maxSendDelay := 0, 0.0, 0
 		for _, u := range result.Usage {
 			peak, cpu, maxSendDelay = max(peak, u.PeakKB), cpu+u.CPUms, max(maxSendDelay, u.Descriptors)
--- a/internal/links/datagrams.go
+++ b/internal/links/datagrams.go
@@ -10,10 +10,10 @@
 
 // Datagrams is a link for UDP: loss, copies, other order, delay and silence, by direction.
 type Datagrams struct {
-	Link // its faults; no TCP passes
-	here *net.UDPConn
-	dst  *net.UDPAddr
-	ways sync.Map // of each sender, its own socket towards the other side
+	Link       // its faults; no TCP passes
+	conn       *net.UDPConn
+	targetAddr *net.UDPAddr
+	upstreams  sync.Map // of each sender, its own socket towards the other side
 }
 
 // NewDatagrams opens one at a loopback address.
@@ -29,29 +29,29 @@
 	if !addr.IP.IsLoopback() {
 		return nil, errors.New("links: " + at + " is not loopback")
 	}
-	here, err := net.ListenUDP("udp", addr)
+	conn, err := net.ListenUDP("udp", addr)
 	if err != nil {
 		return nil, err
 	}
-	d := &Datagrams{here: here, dst: dst, Link: Link{changed: make(chan struct{}), dice: rand.New(rand.NewPCG(seed, 2)), faults: map[int]Fault{}}}
-	go d.hear(here, There, func(from *net.UDPAddr, data []byte) {
-		way, known := d.ways.Load(from.String())
+	d := &Datagrams{conn: conn, targetAddr: dst, Link: Link{changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 2)), faults: map[int]Fault{}}}
+	go d.receive(conn, ToServer, func(from *net.UDPAddr, data []byte) {
+		upstream, known := d.upstreams.Load(from.String())
 		if !known {
-			out, err := net.DialUDP("udp", nil, d.dst)
+			out, err := net.DialUDP("udp", nil, d.targetAddr)
 			if err != nil {
 				return
 			}
-			d.ways.Store(from.String(), out)
-			way = out
-			go d.hear(out, Back, func(_ *net.UDPAddr, data []byte) { here.WriteToUDP(data, from) })
+			d.upstreams.Store(from.String(), out)
+			upstream = out
+			go d.receive(out, ToClient, func(_ *net.UDPAddr, data []byte) { conn.WriteToUDP(data, from) })
 		}
-		way.(*net.UDPConn).Write(data)
+		upstream.(*net.UDPConn).Write(data)
 	})
 	return d, nil
 }
 
 // Addr is where the link is.
-func (d *Datagrams) Addr() string { return d.here.LocalAddr().String() }
+func (d *Datagrams) Addr() string { return d.conn.LocalAddr().String() }
 
 // Set and Clear are as those of a Link; a cut loses all, as silence does.
 func (d *Datagrams) Set(n int, f Fault) {
@@ -69,12 +69,12 @@
 
 // Close ends it.
 func (d *Datagrams) Close() {
-	d.here.Close()
-	d.ways.Range(func(_, way any) bool { way.(*net.UDPConn).Close(); return true })
+	d.conn.Close()
+	d.upstreams.Range(func(_, way any) bool { way.(*net.UDPConn).Close(); return true })
 }
 
 // hear hands on what comes, as the faults have it.
-func (d *Datagrams) hear(in *net.UDPConn, way Way, on func(*net.UDPAddr, []byte)) {
+func (d *Datagrams) receive(in *net.UDPConn, direction Direction, forward func(*net.UDPAddr, []byte)) {
 	var held []byte // waits for the next one to pass it
 	var heldFrom *net.UDPAddr
 	buffer := make([]byte, 64<<10)
@@ -86,32 +86,32 @@
 			}
 			continue
 		}
-		f, _, _ := d.state(way)
-		if f.Silent || f.Lose > 0 && d.draw() < f.Lose {
+		f, _, _ := d.faultFor(direction)
+		if f.Silent || f.Loss > 0 && d.random() < f.Loss {
 			continue
 		}
 		data := append([]byte(nil), buffer[:n]...)
 		wait := f.Delay
 		if f.Jitter > 0 {
-			wait += time.Duration(d.draw() * float64(f.Jitter))
+			wait += time.Duration(d.random() * float64(f.Jitter))
 		}
-		give := func(from *net.UDPAddr, data []byte) {
+		deliver := func(from *net.UDPAddr, data []byte) {
 			if wait > 0 {
-				time.AfterFunc(wait, func() { on(from, data) })
+				time.AfterFunc(wait, func() { forward(from, data) })
 			} else {
-				on(from, data)
+				forward(from, data)
 			}
 		}
-		if held == nil && f.Swap > 0 && d.draw() < f.Swap {
+		if held == nil && f.Reorder > 0 && d.random() < f.Reorder {
 			held, heldFrom = data, from
 			continue
 		}
-		give(from, data)
-		if f.Twice > 0 && d.draw() < f.Twice {
-			give(from, data)
+		deliver(from, data)
+		if f.Duplicate > 0 && d.random() < f.Duplicate {
+			deliver(from, data)
 		}
 		if held != nil {
-			give(heldFrom, held)
+			deliver(heldFrom, held)
 			held = nil
 		}
 	}
--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -19,45 +19,45 @@
 )
 
 // Way is a direction. The zero value is both.
-type Way int
+type Direction int
 
 const (
-	Both Way = iota
-	There
-	Back
+	Both Direction = iota
+	ToServer
+	ToClient
 )
 
 // Fault is what is wrong with a link in a direction.
 type Fault struct {
-	Way           Way
-	Cut, Silent   bool
-	Delay, Jitter time.Duration // one way; jitter is added, evenly drawn. TCP keeps its order
-	Limit         float64       // bytes a second; 0 for none
+	Direction      Direction
+	Cut, Silent    bool
+	Delay, Jitter  time.Duration // one way; jitter is added, evenly drawn. TCP keeps its order
+	BytesPerSecond float64       // bytes a second; 0 for none
 	// Datagrams only, but for Lose on the way back of TCP: the share of connections that are reset as an answer comes.
-	Lose, Twice, Swap float64
+	Loss, Duplicate, Reorder float64
 }
 
 // Link leads what comes at its own address to another one.
 type Link struct {
-	to     string
-	listen *net.TCPListener
-	addr   *net.TCPAddr
+	target   string
+	listener *net.TCPListener
+	addr     *net.TCPAddr
 
-	mu      sync.Mutex
-	changed chan struct{} // closed with each change of the faults
-	dice    *rand.Rand
-	faults  map[int]Fault
-	pairs   map[*pair]struct{}
-	fill    []net.Conn // keep a silent listener's queue full
-	open    bool
-	ended   bool
+	mu          sync.Mutex
+	changed     chan struct{} // closed with each change of the faults
+	rng         *rand.Rand
+	faults      map[int]Fault
+	conns       map[*proxiedConn]struct{}
+	backlogFill []net.Conn // keep a silent listener's queue full
+	listening   bool
+	closed      bool
 }
 
 // pair is one connection through a link.
-type pair struct{ client, server *net.TCPConn }
+type proxiedConn struct{ client, server *net.TCPConn }
 
 // reset ends both sides with RST.
-func (p *pair) reset() {
+func (p *proxiedConn) reset() {
 	for _, c := range []*net.TCPConn{p.client, p.server} {
 		if c != nil {
 			c.SetLinger(0)
@@ -67,17 +67,17 @@
 }
 
 // New opens a link at a loopback address. Chance comes from the seed.
-func New(at, to string, seed uint64) (*Link, error) {
-	l := &Link{to: to, changed: make(chan struct{}), dice: rand.New(rand.NewPCG(seed, 1)), faults: map[int]Fault{}, pairs: map[*pair]struct{}{}}
-	addr, err := net.ResolveTCPAddr("tcp", at)
+func New(addr, target string, seed uint64) (*Link, error) {
+	l := &Link{target: target, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 1)), faults: map[int]Fault{}, conns: map[*proxiedConn]struct{}{}}
+	tcpAddr, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	if !addr.IP.IsLoopback() {
-		return nil, errors.New("links: " + at + " is not loopback")
+	if !tcpAddr.IP.IsLoopback() {
+		return nil, errors.New("links: " + addr + " is not loopback")
 	}
-	l.addr = addr
-	if err := l.start(); err != nil {
+	l.addr = tcpAddr
+	if err := l.openListener(); err != nil {
 		return nil, err
 	}
 	return l, nil
@@ -86,9 +86,9 @@
 // Addr is where the link is.
 func (l *Link) Addr() string { return l.addr.String() }
 
-func (l *Link) start() (err error) {
+func (l *Link) openListener() (err error) {
 	for range 50 { // connections that were reset just now may hold the address for a moment
-		if l.listen, err = net.ListenTCP("tcp", l.addr); err == nil {
+		if l.listener, err = net.ListenTCP("tcp", l.addr); err == nil {
 			break
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -96,18 +96,18 @@
 	if err != nil {
 		return err
 	}
-	for _, c := range l.fill {
+	for _, c := range l.backlogFill {
 		c.Close()
 	}
-	l.addr, l.open, l.fill = l.listen.Addr().(*net.TCPAddr), true, nil
-	go l.accept(l.listen)
+	l.addr, l.listening, l.backlogFill = l.listener.Addr().(*net.TCPAddr), true, nil
+	go l.accept(l.listener)
 	return nil
 }
 
 func (l *Link) accept(ln *net.TCPListener) {
 	for {
-		changed := l.change()
-		if !l.passes() {
+		changed := l.nextChange()
+		if !l.acceptsConns() {
 			<-changed
 			continue
 		}
@@ -118,39 +118,39 @@
 		if err != nil {
 			return
 		}
-		go l.carry(c)
+		go l.proxy(c)
 	}
 }
 
-func (l *Link) change() chan struct{} {
+func (l *Link) nextChange() chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
 // passes tells whether new connections come up.
-func (l *Link) passes() bool {
+func (l *Link) acceptsConns() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, f := range l.faults {
 		if f.Silent {
-			return l.ended
+			return l.closed
 		}
 	}
 	return true
 }
 
 // Set puts a fault in force under a number; Clear ends it. They may end in any order.
-func (l *Link) Set(n int, f Fault) { l.alter(func() { l.faults[n] = f }) }
-func (l *Link) Clear(n int)        { l.alter(func() { delete(l.faults, n) }) }
+func (l *Link) Set(n int, f Fault) { l.update(func() { l.faults[n] = f }) }
+func (l *Link) Clear(n int)        { l.update(func() { delete(l.faults, n) }) }
 
-func (l *Link) alter(how func()) {
+func (l *Link) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.closed {
 		return
 	}
-	how()
+	change()
 	close(l.changed)
 	l.changed = make(chan struct{})
 	cut, silent := false, false
@@ -158,38 +158,38 @@
 		cut, silent = cut || f.Cut, silent || f.Silent
 	}
 	switch {
-	case cut && l.open:
-		l.open = false
-		l.listen.Close()
+	case cut && l.listening:
+		l.listening = false
+		l.listener.Close()
 		l.resetAll()
-	case !cut && !l.open:
-		l.start()
+	case !cut && !l.listening:
+		l.openListener()
 	}
-	if l.open {
-		l.hush(silent)
+	if l.listening {
+		l.setSilent(silent)
 	}
 }
 
 // hush fills the queue of a listener that accepts none, so that the kernel drops who comes: its connection never comes up.
-func (l *Link) hush(silent bool) {
-	if silent == (l.fill != nil) {
+func (l *Link) setSilent(silent bool) {
+	if silent == (l.backlogFill != nil) {
 		return
 	}
 	backlog, until := 0, time.Unix(1, 0)
 	if !silent {
 		backlog, until = 4096, time.Time{}
 	}
-	l.listen.SetDeadline(until) // nothing is taken from the queue
-	if raw, err := l.listen.SyscallConn(); err == nil {
+	l.listener.SetDeadline(until) // nothing is taken from the queue
+	if raw, err := l.listener.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { unix.Listen(int(fd), backlog) })
 	}
-	for _, c := range l.fill {
+	for _, c := range l.backlogFill {
 		c.Close()
 	}
-	if l.fill = nil; silent {
-		l.fill = []net.Conn{}
+	if l.backlogFill = nil; silent {
+		l.backlogFill = []net.Conn{}
 		if c, err := net.DialTimeout("tcp", l.addr.String(), 50*time.Millisecond); err == nil { // a queue of none has room for one
-			l.fill = append(l.fill, c)
+			l.backlogFill = append(l.backlogFill, c)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 }
 
 func (l *Link) resetAll() {
-	for p := range l.pairs {
+	for p := range l.conns {
 		p.reset()
 	}
 }
@@ -211,12 +211,12 @@
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.closed {
 		return
 	}
-	l.ended = true
-	l.listen.Close()
-	for _, c := range l.fill {
+	l.closed = true
+	l.listener.Close()
+	for _, c := range l.backlogFill {
 		c.Close()
 	}
 	l.resetAll()
@@ -224,66 +224,66 @@
 }
 
 // state sums up the faults of one direction.
-func (l *Link) state(way Way) (f Fault, changed chan struct{}, ended bool) {
+func (l *Link) faultFor(direction Direction) (f Fault, changed chan struct{}, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, o := range l.faults {
-		if o.Way != Both && o.Way != way {
+	for _, other := range l.faults {
+		if other.Direction != Both && other.Direction != direction {
 			continue
 		}
-		f.Silent = f.Silent || o.Silent
-		f.Delay, f.Jitter = f.Delay+o.Delay, f.Jitter+o.Jitter
-		f.Lose, f.Twice, f.Swap = max(f.Lose, o.Lose), max(f.Twice, o.Twice), max(f.Swap, o.Swap)
-		if o.Limit > 0 && (f.Limit == 0 || o.Limit < f.Limit) {
-			f.Limit = o.Limit
+		f.Silent = f.Silent || other.Silent
+		f.Delay, f.Jitter = f.Delay+other.Delay, f.Jitter+other.Jitter
+		f.Loss, f.Duplicate, f.Reorder = max(f.Loss, other.Loss), max(f.Duplicate, other.Duplicate), max(f.Reorder, other.Reorder)
+		if other.BytesPerSecond > 0 && (f.BytesPerSecond == 0 || other.BytesPerSecond < f.BytesPerSecond) {
+			f.BytesPerSecond = other.BytesPerSecond
 		}
 	}
-	return f, l.changed, l.ended
+	return f, l.changed, l.closed
 }
 
 // draw is a number from 0 to 1.
-func (l *Link) draw() float64 {
+func (l *Link) random() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.dice.Float64()
+	return l.rng.Float64()
 }
 
-func (l *Link) carry(client *net.TCPConn) {
-	p := &pair{client: client}
-	conn, err := net.DialTimeout("tcp", l.to, 5*time.Second)
+func (l *Link) proxy(client *net.TCPConn) {
+	p := &proxiedConn{client: client}
+	conn, err := net.DialTimeout("tcp", l.target, 5*time.Second)
 	if err != nil {
 		p.reset()
 		return
 	}
 	p.server = conn.(*net.TCPConn)
 	l.mu.Lock()
-	if l.ended || !l.open {
+	if l.closed || !l.listening {
 		l.mu.Unlock()
 		p.reset()
 		return
 	}
-	l.pairs[p] = struct{}{}
+	l.conns[p] = struct{}{}
 	l.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { l.pump(p, p.client, p.server, There) })
-	both.Go(func() { l.pump(p, p.server, p.client, Back) })
+	both.Go(func() { l.copyDirection(p, p.client, p.server, ToServer) })
+	both.Go(func() { l.copyDirection(p, p.server, p.client, ToClient) })
 	both.Wait()
 	l.mu.Lock()
-	delete(l.pairs, p)
+	delete(l.conns, p)
 	l.mu.Unlock()
 	client.Close()
 	p.server.Close()
 }
 
 // piece is what came at once, and when it is due at the other side. No data is the end.
-type piece struct {
+type chunk struct {
 	data []byte
 	due  time.Time
 }
 
 // pump carries one direction: one reads and says when each piece is due, one writes.
-func (l *Link) pump(p *pair, from, to *net.TCPConn, way Way) {
-	queue := make(chan piece, 64)
+func (l *Link) copyDirection(p *proxiedConn, from, to *net.TCPConn, direction Direction) {
+	queue := make(chan chunk, 64)
 	go func() {
 		defer close(queue)
 		last := time.Time{}
@@ -291,20 +291,20 @@
 			data := make([]byte, 16<<10)
 			n, err := from.Read(data)
 			if n > 0 || errors.Is(err, io.EOF) {
-				f, _, _ := l.state(way)
-				if f.Lose > 0 && n > 0 && l.draw() < f.Lose {
+				f, _, _ := l.faultFor(direction)
+				if f.Loss > 0 && n > 0 && l.random() < f.Loss {
 					p.reset()
 					return
 				}
 				due := time.Now().Add(f.Delay)
 				if f.Jitter > 0 {
-					due = due.Add(time.Duration(l.draw() * float64(f.Jitter)))
+					due = due.Add(time.Duration(l.random() * float64(f.Jitter)))
 				}
-				if f.Limit > 0 {
-					due = latest(due, last).Add(time.Duration(float64(n) / f.Limit * float64(time.Second)))
+				if f.BytesPerSecond > 0 {
+					due = later(due, last).Add(time.Duration(float64(n) / f.BytesPerSecond * float64(time.Second)))
 				}
-				last = latest(due, last)
-				queue <- piece{data[:n], last}
+				last = later(due, last)
+				queue <- chunk{data[:n], last}
 			}
 			if err != nil {
 				if !errors.Is(err, io.EOF) {
@@ -322,7 +322,7 @@
 		if wait := time.Until(piece.due); wait > 0 {
 			time.Sleep(wait)
 		}
-		for f, changed, ended := l.state(way); f.Silent && !ended; f, changed, ended = l.state(way) {
+		for f, changed, closed := l.faultFor(direction); f.Silent && !closed; f, changed, closed = l.faultFor(direction) {
 			<-changed
 		}
 		if len(piece.data) == 0 {
@@ -334,7 +334,7 @@
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -12,11 +12,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-const never = 150 * time.Millisecond // in which what must not come would have come long ago
-const patience = 20 * time.Second
+const noAnswerWait = 150 * time.Millisecond // in which what must not come would have come long ago
+const ioTimeout = 20 * time.Second
 
 // echo answers each line with itself.
-func echo(t *testing.T) string {
+func startEchoServer(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -32,7 +32,7 @@
 	return ln.Addr().String()
 }
 
-func say(c net.Conn, within time.Duration) error {
+func roundTrip(c net.Conn, within time.Duration) error {
 	c.SetDeadline(time.Now().Add(within))
 	if _, err := fmt.Fprintln(c, "hello"); err != nil {
 		return err
@@ -41,58 +41,58 @@
 	return err
 }
 
-func TestFaultsOfTCP(t *testing.T) {
-	l, err := New("127.0.0.1:0", echo(t), 1)
+func TestTCPFaults(t *testing.T) {
+	l, err := New("127.0.0.1:0", startEchoServer(t), 1)
 	require.NoError(t, err)
 	defer l.Close()
 	dial := func() net.Conn {
-		c, err := net.DialTimeout("tcp", l.Addr(), patience)
+		c, err := net.DialTimeout("tcp", l.Addr(), ioTimeout)
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
 	open := dial()
-	require.NoError(t, say(open, patience))
+	require.NoError(t, roundTrip(open, ioTimeout))
 
 	l.Set(1, Fault{Silent: true})
-	assert.ErrorContains(t, say(open, never), "timeout", "half open")
-	_, err = net.DialTimeout("tcp", l.Addr(), never)
+	assert.ErrorContains(t, roundTrip(open, noAnswerWait), "timeout", "half open")
+	_, err = net.DialTimeout("tcp", l.Addr(), noAnswerWait)
 	assert.ErrorContains(t, err, "timeout", "a new one never comes up")
-	l.Set(2, Fault{Silent: true, Way: Back}) // two faults, the first ends first
+	l.Set(2, Fault{Silent: true, Direction: ToClient}) // two faults, the first ends first
 	l.Clear(1)
-	assert.ErrorContains(t, say(open, never), "timeout")
+	assert.ErrorContains(t, roundTrip(open, noAnswerWait), "timeout")
 	l.Clear(2)
-	open.SetDeadline(time.Now().Add(patience))
+	open.SetDeadline(time.Now().Add(ioTimeout))
 	_, err = bufio.NewReader(open).ReadString('\n')
 	assert.NoError(t, err, "what was sent comes when it is back")
-	require.NoError(t, say(dial(), patience))
+	require.NoError(t, roundTrip(dial(), ioTimeout))
 
 	l.Set(3, Fault{Cut: true})
-	assert.Error(t, say(open, patience))
-	_, err = net.DialTimeout("tcp", l.Addr(), patience)
+	assert.Error(t, roundTrip(open, ioTimeout))
+	_, err = net.DialTimeout("tcp", l.Addr(), ioTimeout)
 	assert.ErrorContains(t, err, "refused")
 	l.Clear(3)
 	open = dial()
-	require.NoError(t, say(open, patience))
+	require.NoError(t, roundTrip(open, ioTimeout))
 
 	l.Reset()
-	assert.ErrorContains(t, say(open, patience), "reset")
+	assert.ErrorContains(t, roundTrip(open, ioTimeout), "reset")
 
-	for _, f := range []Fault{{Delay: 60 * time.Millisecond}, {Delay: 50 * time.Millisecond, Jitter: 20 * time.Millisecond, Way: There}, {Limit: 100, Way: Back}} {
+	for _, f := range []Fault{{Delay: 60 * time.Millisecond}, {Delay: 50 * time.Millisecond, Jitter: 20 * time.Millisecond, Direction: ToServer}, {BytesPerSecond: 100, Direction: ToClient}} {
 		open = dial()
 		l.Set(4, f)
 		began := time.Now()
-		require.NoError(t, say(open, patience))
+		require.NoError(t, roundTrip(open, ioTimeout))
 		assert.Greater(t, time.Since(began), 49*time.Millisecond, "%+v", f)
 		l.Clear(4)
 	}
-	l.Set(5, Fault{Lose: 1, Way: Back})
-	assert.Error(t, say(dial(), patience), "reset as the answer comes")
+	l.Set(5, Fault{Loss: 1, Direction: ToClient})
+	assert.Error(t, roundTrip(dial(), ioTimeout), "reset as the answer comes")
 	l.Clear(5)
-	require.NoError(t, say(dial(), patience))
+	require.NoError(t, roundTrip(dial(), ioTimeout))
 }
 
-func TestFaultsOfUDP(t *testing.T) {
+func TestUDPFaults(t *testing.T) {
 	server, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer server.Close()
@@ -103,16 +103,16 @@
 	require.NoError(t, err)
 	defer c.Close()
 	// send sends so many and returns what came, until the mark that is sent without faults.
-	send := func(f Fault, many int) (came []string) {
+	send := func(f Fault, count int) (received []string) {
 		d.Set(1, f)
-		for n := range many {
+		for n := range count {
 			fmt.Fprint(c, n)
 			time.Sleep(time.Millisecond / 4) // the kernel's own buffers are no fault of the link
 		}
 		time.Sleep(20 * time.Millisecond)
 		d.Clear(1)
 		buffer := make([]byte, 100)
-		server.SetReadDeadline(time.Now().Add(patience))
+		server.SetReadDeadline(time.Now().Add(ioTimeout))
 		for marked := false; ; {
 			if !marked {
 				fmt.Fprint(c, "end")
@@ -122,21 +122,21 @@
 			require.NoError(t, err)
 			if string(buffer[:n]) == "end" {
 				server.WriteTo([]byte("ok"), from)
-				c.SetReadDeadline(time.Now().Add(patience))
+				c.SetReadDeadline(time.Now().Add(ioTimeout))
 				_, err := c.Read(buffer)
 				require.NoError(t, err, "answers find the way back")
-				return came
+				return received
 			}
-			came = append(came, string(buffer[:n]))
+			received = append(received, string(buffer[:n]))
 		}
 	}
 	assert.Len(t, send(Fault{}, 50), 50)
 	assert.Empty(t, send(Fault{Silent: true}, 50))
-	lost := len(send(Fault{Lose: 0.5}, 200))
+	lost := len(send(Fault{Loss: 0.5}, 200))
 	assert.InDelta(t, 100, lost, 42, "six standard deviations")
-	assert.InDelta(t, 150, len(send(Fault{Twice: 0.5}, 100)), 30)
-	assert.Equal(t, []string{"1", "0", "3", "2"}, send(Fault{Swap: 1}, 4), "each other one is passed by the next")
-	assert.Empty(t, send(Fault{Cut: true, Way: There}, 5))
+	assert.InDelta(t, 150, len(send(Fault{Duplicate: 0.5}, 100)), 30)
+	assert.Equal(t, []string{"1", "0", "3", "2"}, send(Fault{Reorder: 1}, 4), "each other one is passed by the next")
+	assert.Empty(t, send(Fault{Cut: true, Direction: ToServer}, 5))
 }
 
 func TestLoopbackOnly(t *testing.T) {
--- a/internal/rig/block.go
+++ b/internal/rig/block.go
@@ -9,28 +9,28 @@
 	"os"
 )
 
-const port = 8080
+const basePort = 8080
 
 // block is 127.B.0.0/16 for one B, held by a listener at its first address.
-type block struct {
-	net    int
-	holder net.Listener
+type addrBlock struct {
+	octet    int
+	listener net.Listener
 }
 
-func claim() (*block, error) {
+func claimBlock() (*addrBlock, error) {
 	for n := range 120 {
-		b := 2 + (os.Getpid()+n*7)%250
-		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", b, port))
+		octet := 2 + (os.Getpid()+n*7)%250
+		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", octet, basePort))
 		if err == nil {
-			return &block{b, ln}, nil
+			return &addrBlock{octet, ln}, nil
 		}
 	}
 	return nil, errors.New("no block of loopback addresses is free")
 }
 
 // at is the address of number n in a row; rows hold up to 25,000.
-func (b *block) at(row, n int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", b.net, 1+row, 1+n%250, port+n/250)
+func (b *addrBlock) addr(row, n int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", b.octet, 1+row, 1+n%250, basePort+n/250)
 }
 
 // Rows of addresses. From rowClass on there is one for each class of sidecars that share links to endpoints.
@@ -38,12 +38,12 @@
 	rowSidecar = iota
 	rowClient  // links before sidecars
 	rowConsole
-	rowConsole2 // of the second process of an upgrade
+	rowSecondConsole // of the second process of an upgrade
 	rowConsoleLink
 	rowList
 	rowListLink
 	rowListMoved // where a new configuration finds the list service
 	rowEndpoint
-	rowClass
-	rowsMost = 250
+	rowFirstClass
+	maxRow = 250
 )
--- a/internal/rig/client.go
+++ b/internal/rig/client.go
@@ -21,26 +21,26 @@
 
 // client is that of one sidecar.
 type client struct {
-	rig     *Rig
-	sidecar int
-	addr    string
-	mu      sync.Mutex
-	idle    []*line
-	off     bool // it is stopped together with its sidecar
-	staying bool // it opens no more connections, and goes on using those that it has
+	rig            *Rig
+	sidecar        int
+	addr           string
+	mu             sync.Mutex
+	idle           []*clientConn
+	stopped        bool // it is stopped together with its sidecar
+	dialingStopped bool // it opens no more connections, and goes on using those that it has
 }
 
 // errNoMore is that of a client whose sidecar is told to end.
-var errNoMore = errors.New("no more connections are opened")
+var errDialingStopped = errors.New("no more connections are opened")
 
 // line is one connection.
-type line struct {
+type clientConn struct {
 	net.Conn
-	in   *bufio.Reader
-	used bool
+	reader *bufio.Reader
+	reused bool
 }
 
-func (c *client) take(fresh bool) (*line, error) {
+func (c *client) acquire(fresh bool) (*clientConn, error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
 		l := c.idle[n-1]
@@ -48,22 +48,22 @@
 		c.mu.Unlock()
 		return l, nil
 	}
-	staying := c.staying
+	dialingStopped := c.dialingStopped
 	c.mu.Unlock()
-	if staying {
-		return nil, errNoMore
+	if dialingStopped {
+		return nil, errDialingStopped
 	}
 	conn, err := net.DialTimeout("tcp", c.addr, 2*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &line{Conn: conn, in: bufio.NewReaderSize(conn, 2048)}, nil
+	return &clientConn{Conn: conn, reader: bufio.NewReaderSize(conn, 2048)}, nil
 }
 
-func (c *client) keep(l *line) {
+func (c *client) release(l *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l.used = true
+	l.reused = true
 	c.idle = append(c.idle, l)
 }
 
@@ -74,109 +74,109 @@
 	for _, l := range c.idle {
 		l.Close()
 	}
-	c.idle, c.off = nil, true
+	c.idle, c.stopped = nil, true
 }
 
 // openNoMore has it use only the connections that it has.
-func (c *client) openNoMore() {
+func (c *client) stopDialing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.staying = true
+	c.dialingStopped = true
 }
 
 func (c *client) start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.off, c.staying = false, false
+	c.stopped, c.dialingStopped = false, false
 }
 
 // ask asks for one exchange and enters what became of it.
-func (c *client) ask(a scenario.Arrival) {
+func (c *client) send(a scenario.Arrival) {
 	c.mu.Lock()
-	off := c.off
+	stopped := c.stopped
 	c.mu.Unlock()
-	if off {
+	if stopped {
 		return
 	}
 	p := &c.rig.s.Products[a.Product]
 	x := &records.Exchange{ID: a.ID, Sidecar: a.Sidecar, Product: a.Product, Work: a.Work, DueAt: a.At}
 	c.rig.book.AddExchange(x)
-	method, extra := "GET", ""
+	method, headers := "GET", ""
 	if p.Effect != "replayable" {
-		method, extra = "POST", "Content-Length: 0\r\n"
+		method, headers = "POST", "Content-Length: 0\r\n"
 	}
 	if p.Effect == "referenced" {
-		extra += "Idempotency-Key: " + keyOf(a.ID) + "\r\n"
+		headers += "Idempotency-Key: " + idempotencyKey(a.ID) + "\r\n"
 	}
 	text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nRequest-Timeout: %.0fm\r\n%s\r\n",
-		method, p.Name, a.ID, p.Name, p.AbandonTime, extra)
+		method, p.Name, a.ID, p.Name, p.AbandonTime, headers)
 	sent := 0.0
 	for try := 0; ; try++ {
-		l, err := c.take(try > 0)
+		l, err := c.acquire(try > 0)
 		if err != nil {
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
-				c.rig.fail(c.rig.plain(err))
+				c.rig.fail(c.rig.explainLimit(err))
 			}
 			c.rig.book.RecordAnswer(x, 0, err.Error(), sent, c.rig.now())
 			return
 		}
-		used := l.used
-		l.SetDeadline(time.Now().Add(time.Duration(p.AbandonTime+answerLast) * time.Millisecond))
-		patience, way := c.rig.patience(a)
-		if way&1 == 1 && patience > 0 { // more behind it: a part of another request
+		reused := l.reused
+		l.SetDeadline(time.Now().Add(time.Duration(p.AbandonTime+answerTimeoutMs) * time.Millisecond))
+		leaveAfter, leaveMode := c.rig.earlyLeave(a)
+		if leaveMode&1 == 1 && leaveAfter > 0 { // more behind it: a part of another request
 			text += "GET /" + p.Name + " HTTP/1.1\r\nHost: h\r\n"
 		}
-		var got *http.Response
+		var response *http.Response
 		if _, err = io.WriteString(l, text); err == nil {
 			sent = c.rig.now()
-			if patience > 0 {
-				l.SetReadDeadline(time.Now().Add(patience))
+			if leaveAfter > 0 {
+				l.SetReadDeadline(time.Now().Add(leaveAfter))
 			}
-			_, err = l.in.Peek(1)
-			if err != nil && patience > 0 && isTimeout(err) {
-				if way&2 == 2 {
-					cut(l.Conn)
+			_, err = l.reader.Peek(1)
+			if err != nil && leaveAfter > 0 && isTimeout(err) {
+				if leaveMode&2 == 2 {
+					resetConn(l.Conn)
 				}
 				l.Close()
 				c.rig.book.RecordClientLeft(x, sent, c.rig.now())
 				return
 			}
-			if patience > 0 { // an answer came first; what stands behind the request makes the connection useless
-				l.SetReadDeadline(time.Now().Add(answerLast * time.Millisecond))
+			if leaveAfter > 0 { // an answer came first; what stands behind the request makes the connection useless
+				l.SetReadDeadline(time.Now().Add(answerTimeoutMs * time.Millisecond))
 				defer l.Close()
 			}
 			if err == nil {
-				if got, err = http.ReadResponse(l.in, nil); err != nil {
+				if response, err = http.ReadResponse(l.reader, nil); err != nil {
 					err = fmt.Errorf("an answer broken off: %w", err)
-					used = false
+					reused = false
 				}
 			}
 		}
 		if err != nil {
 			l.Close()
 			// A kept connection that the sidecar closed as this was written: it is sent once more, on a new one.
-			if used && try == 0 && !isTimeout(err) && !(sent > 0 && c.rig.killedSince(c.sidecar, sent)) {
+			if reused && try == 0 && !isTimeout(err) && !(sent > 0 && c.rig.killedSince(c.sidecar, sent)) {
 				sent = 0
 				continue
 			}
-			if !used && try == 0 && isShut(err) && c.rig.crowded(c.sidecar) {
+			if !reused && try == 0 && isClosedUnanswered(err) && c.rig.isFlooded(c.sidecar) {
 				sent = 0 // shut unread, for want of a descriptor
 			}
 			c.rig.book.RecordAnswer(x, 0, err.Error(), sent, c.rig.now())
 			return
 		}
-		body, err := io.ReadAll(got.Body)
-		wrong := ""
+		body, err := io.ReadAll(response.Body)
+		problem := ""
 		if err != nil {
-			wrong = "broken off: " + err.Error()
-		} else if got.StatusCode == http.StatusOK && string(body) != answerTo(a.ID) {
-			wrong = fmt.Sprintf("not made for it: %.40q", body)
+			problem = "broken off: " + err.Error()
+		} else if response.StatusCode == http.StatusOK && string(body) != answerBody(a.ID) {
+			problem = fmt.Sprintf("not made for it: %.40q", body)
 		}
-		c.rig.book.RecordAnswer(x, got.StatusCode, wrong, sent, c.rig.now())
-		if err != nil || got.Close || patience > 0 {
+		c.rig.book.RecordAnswer(x, response.StatusCode, problem, sent, c.rig.now())
+		if err != nil || response.Close || leaveAfter > 0 {
 			l.Close()
 		} else {
-			c.keep(l)
+			c.release(l)
 		}
 		return
 	}
@@ -184,29 +184,29 @@
 
 // patience is how long a client waits that will leave early, and in which way it does; 0 for who waits its time. Every other
 // one of a sidecar's clients leaves while the fault lasts.
-func (r *Rig) patience(a scenario.Arrival) (wait time.Duration, way uint64) {
-	dice := r.s.SeedOf("leaves " + a.ID)
-	most := 0.0
+func (r *Rig) earlyLeave(a scenario.Arrival) (wait time.Duration, mode uint64) {
+	draw := r.s.SeedOf("leaves " + a.ID)
+	maxWaitMs := 0.0
 	for n := range r.s.Faults {
 		f := &r.s.Faults[n]
-		if now := r.now() / 1000; f.Kind == "leave" && now >= f.At && now < f.End() && r.leaves(n, a.Sidecar) {
-			most = f.Size
+		if now := r.now() / 1000; f.Kind == "leave" && now >= f.At && now < f.End() && r.hasLeavingClients(n, a.Sidecar) {
+			maxWaitMs = f.Size
 		}
 	}
-	if most == 0 || dice&1 == 0 {
+	if maxWaitMs == 0 || draw&1 == 0 {
 		return 0, 0
 	}
-	share := float64(dice>>8&0xffff) / 0x10000
-	return time.Duration((1 + share*most) * float64(time.Millisecond)), dice >> 1 & 3
+	share := float64(draw>>8&0xffff) / 0x10000
+	return time.Duration((1 + share*maxWaitMs) * float64(time.Millisecond)), draw >> 1 & 3
 }
 
-func (r *Rig) leaves(n, sidecar int) bool {
-	who, _ := r.s.FaultTargets(n)
-	return slices.ContainsFunc(who, func(p scenario.Node) bool { return p.Number == sidecar })
+func (r *Rig) hasLeavingClients(n, sidecar int) bool {
+	sidecars, _ := r.s.FaultTargets(n)
+	return slices.ContainsFunc(sidecars, func(p scenario.Node) bool { return p.Number == sidecar })
 }
 
 // isShut tells that a connection was ended before a byte of an answer came.
-func isShut(err error) bool {
+func isClosedUnanswered(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
--- a/internal/rig/crowd_test.go
+++ b/internal/rig/crowd_test.go
@@ -14,12 +14,12 @@
 )
 
 // soundShare is the share of requests that a sidecar has to serve in time while its endpoints and cores are sound.
-const soundShare = 0.95
+const minServedShare = 0.95
 
 // plainProgram is the program without the race detector. With it a crowd of 1,024 costs the sidecar 4.4 s of processor time in the 4 s that
 // it lasts, in place of 1.3 (traced by its usage), so that its core is not sound and the share is not owed; the rules are judged with the
 // detector in the soak.
-func plainProgram(t *testing.T) string {
+func buildProgramWithoutRace(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "lynxjunction")
 	out, err := exec.Command("go", "build", "-o", path, "github.com/lynxjunction/lynxjunction/cmd/lynxjunction").CombinedOutput()
 	require.NoError(t, err, "%s", out)
@@ -27,7 +27,7 @@
 }
 
 // playCrowd plays a rehearsal with a crowd, keeps it to every rule, and to the share of requests that is owed while all else is sound.
-func playCrowd(t *testing.T, program string, change func(s *scenario.Scenario)) {
+func runFloodScenario(t *testing.T, program string, change func(s *scenario.Scenario)) {
 	s, err := scenario.Read("testdata/crowd.toml")
 	require.NoError(t, err)
 	change(s)
@@ -43,7 +43,7 @@
 	all := result.Book.Service(2000, 6000, -1)
 	t.Logf("%+v", all)
 	assert.Greater(t, all.Requests, 300)
-	assert.GreaterOrEqual(t, float64(all.InTime), soundShare*float64(all.Requests))
+	assert.GreaterOrEqual(t, float64(all.InTime), minServedShare*float64(all.Requests))
 }
 
 // Idle clients take a sidecar's descriptors, every third with half a head, and come again when they are sent away. Nearly every request
@@ -53,26 +53,26 @@
 // legs_no_connection 368, legs_not_sent 0, given_up_legs 317, "e0 doubtful true: 3 of 11 bad". The sidecar beside them, which asked
 // the same endpoints, refused none.
 func TestRequestsAreServedBesideACrowd(t *testing.T) {
-	sound := plainProgram(t)
+	program := buildProgramWithoutRace(t)
 	for _, size := range []float64{128, 400, 1024} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) { // one after the other: its verdict is one of time
-			playCrowd(t, sound, func(s *scenario.Scenario) { s.Faults[0].Size = size })
+			runFloodScenario(t, program, func(s *scenario.Scenario) { s.Faults[0].Size = size })
 		})
 	}
 }
 
 // The same where each of a crowd writes half a head, or goes on with it byte by byte and never ends it, or has had an answer and rests; and
 // where the sidecar is handed over in the middle of it, so that two processes share its descriptors.
-func TestRequestsAreServedBesideOtherCrowds(t *testing.T) {
-	sound := plainProgram(t)
+func TestRequestsAreServedDuringOtherConnectionFloods(t *testing.T) {
+	program := buildProgramWithoutRace(t)
 	for name, change := range map[string]func(s *scenario.Scenario){
-		"half heads": func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(crowdHeads), 600 },
-		"drip":       func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(crowdDrip), 600 },
-		"kept":       func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(crowdKept), 600 },
+		"half heads": func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(floodPartial), 600 },
+		"drip":       func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(floodDrip), 600 },
+		"kept":       func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(floodIdle), 600 },
 		"hand-over": func(s *scenario.Scenario) {
 			s.Faults = append(s.Faults, scenario.Fault{Kind: "upgrade", At: 3, Targets: []string{"s0"}})
 		},
 	} {
-		t.Run(name, func(t *testing.T) { playCrowd(t, sound, change) })
+		t.Run(name, func(t *testing.T) { runFloodScenario(t, program, change) })
 	}
 }
--- a/internal/rig/crowded_return_test.go
+++ b/internal/rig/crowded_return_test.go
@@ -12,11 +12,11 @@
 // discovery's return at 5.0: call 12 at 0.68 refused at once, call 13 at 1.48 waits, call 14 at 2.58 refused at once, call 13 ends after
 // 1,100 ms, call 15 at 3.38 waits; its list comes some 7 s after the return, and requests go to endpoints that drain past the grace: 48
 // and 28 cases in two plays, 35 with the version before.
-func TestDrainsAreKeptWhenACrowdedDiscoveryReturns(t *testing.T) {
+func TestDrainsAreKeptWhenAnOverloadedDiscoveryReturns(t *testing.T) {
 	t.Parallel()
-	result, err := play(t, &Rig{Program: program(t, "")}, "crowded-return.toml")
+	result, err := runScenario(t, &Rig{Program: buildProgram(t, "")}, "crowded-return.toml")
 	require.NoError(t, err)
-	if many := len(result.Broken); many > 0 {
-		t.Errorf("%d cases, the first: %s: %s", many, result.Broken[0].Rule, result.Broken[0].Details)
+	if brokenCount := len(result.Broken); brokenCount > 0 {
+		t.Errorf("%d cases, the first: %s: %s", brokenCount, result.Broken[0].Rule, result.Broken[0].Details)
 	}
 }
--- a/internal/rig/endpoint.go
+++ b/internal/rig/endpoint.go
@@ -25,17 +25,17 @@
 	addr   string
 	rig    *Rig
 
-	mu      sync.Mutex
-	model   *emulator.Endpoint
-	waiting map[uint64]chan bool
-	jobs    uint64
-	timer   *time.Timer
-	falls   int
-
-	web    *http.Server
-	listen net.Listener
-	conns  map[net.Conn]bool // true once an exchange has come
-	gone   bool
+	mu                sync.Mutex
+	model             *emulator.Endpoint
+	waiting           map[uint64]chan bool
+	lastJob           uint64
+	timer             *time.Timer
+	recordedCollapses int
+
+	httpServer *http.Server
+	listener   net.Listener
+	conns      map[net.Conn]bool // true once an exchange has come
+	down       bool
 }
 
 func (r *Rig) newEndpoint(p scenario.Node, name string, cold bool) (*endpoint, error) {
@@ -47,10 +47,10 @@
 		started = now
 	}
 	e.number = r.book.AddEndpoint(name, now)
-	e.addr = r.block.at(rowEndpoint, e.number)
+	e.addr = r.addrs.addr(rowEndpoint, e.number)
 	e.model = emulator.New(r.s.EmulatorKind(p), r.s.SeedOf(name), started, now)
-	e.timer = time.AfterFunc(time.Hour, e.beat)
-	e.web = &http.Server{Handler: e, IdleTimeout: scenario.EndpointIdleTimeout, ConnState: e.follow, ErrorLog: e.rig.webLog(),
+	e.timer = time.AfterFunc(time.Hour, e.timerFired)
+	e.httpServer = &http.Server{Handler: e, IdleTimeout: scenario.EndpointIdleTimeout, ConnState: e.trackConn, ErrorLog: e.rig.serverLog(),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
 	return e, e.open()
 }
@@ -59,23 +59,23 @@
 
 func (e *endpoint) open() (err error) {
 	for range 200 {
-		if e.listen, err = net.Listen("tcp", e.addr); err == nil {
-			go e.web.Serve(e.listen)
+		if e.listener, err = net.Listen("tcp", e.addr); err == nil {
+			go e.httpServer.Serve(e.listener)
 			return nil
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return e.rig.plain(err)
+	return e.rig.explainLimit(err)
 }
 
 // follow keeps the connections that are open, within the bound.
-func (e *endpoint) follow(c net.Conn, s http.ConnState) {
+func (e *endpoint) trackConn(c net.Conn, s http.ConnState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		if len(e.conns) >= e.rig.s.Endpoints[e.GroupIndex].MaxConnections || e.gone {
-			cut(c)
+		if len(e.conns) >= e.rig.s.Endpoints[e.GroupIndex].MaxConnections || e.down {
+			resetConn(c)
 			return
 		}
 		e.conns[c] = false
@@ -86,7 +86,7 @@
 }
 
 // cut ends a connection with RST.
-func cut(c net.Conn) {
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
@@ -97,16 +97,16 @@
 func (e *endpoint) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.gone = true
-	e.model.Advance(e.rig.now(), e.done)
+	e.down = true
+	e.model.Advance(e.rig.now(), e.jobDone)
 	e.model.Stop()
-	e.abandon()
-	e.listen.Close()
+	e.dropConns()
+	e.listener.Close()
 }
 
-func (e *endpoint) abandon() {
+func (e *endpoint) dropConns() {
 	for c := range e.conns {
-		cut(c)
+		resetConn(c)
 	}
 	for id, w := range e.waiting {
 		delete(e.waiting, id)
@@ -115,25 +115,25 @@
 }
 
 // comeBack starts it anew, cold.
-func (e *endpoint) comeBack() error {
+func (e *endpoint) restart() error {
 	e.mu.Lock()
-	e.gone = false
-	e.model.Advance(e.rig.now(), e.done)
+	e.down = false
+	e.model.Advance(e.rig.now(), e.jobDone)
 	e.model.Restart(e.rig.now())
 	e.mu.Unlock()
 	return e.open()
 }
 
 // alter changes the model under its lock.
-func (e *endpoint) alter(how func(m *emulator.Endpoint)) {
+func (e *endpoint) update(change func(m *emulator.Endpoint)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.model.Advance(e.rig.now(), e.done)
-	how(e.model)
-	e.arm()
+	e.model.Advance(e.rig.now(), e.jobDone)
+	change(e.model)
+	e.armTimer()
 }
 
-func (e *endpoint) done(d emulator.Done) {
+func (e *endpoint) jobDone(d emulator.Done) {
 	if w := e.waiting[d.ID]; w != nil {
 		delete(e.waiting, d.ID)
 		w <- d.OK
@@ -141,7 +141,7 @@
 }
 
 // arm sets the timer for the next thing that happens by itself.
-func (e *endpoint) arm() {
+func (e *endpoint) armTimer() {
 	next := e.model.Next()
 	if math.IsInf(next, 1) {
 		e.timer.Stop()
@@ -150,7 +150,7 @@
 	e.timer.Reset(time.Duration(max(next-e.rig.now(), 0) * float64(time.Millisecond)))
 }
 
-func (e *endpoint) beat() { e.alter(func(*emulator.Endpoint) {}) }
+func (e *endpoint) timerFired() { e.update(func(*emulator.Endpoint) {}) }
 
 func (e *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	at := e.rig.now()
@@ -160,10 +160,10 @@
 	io.Copy(io.Discard, r.Body)
 	id := r.Header.Get("Request-Id")
 	l := &records.Leg{Exchange: id, Endpoint: e.number, ArrivedAt: at}
-	x := e.rig.book.FindExchange(id)
-	if x != nil {
-		l.Work = x.Work
-		l.KeyIntact = r.Header.Get("Idempotency-Key") == keyOf(id)
+	exchange := e.rig.book.FindExchange(id)
+	if exchange != nil {
+		l.Work = exchange.Work
+		l.KeyIntact = r.Header.Get("Idempotency-Key") == idempotencyKey(id)
 		l.DeadlineMs, _ = strconv.ParseFloat(strings.TrimSuffix(r.Header.Get("Request-Timeout"), "m"), 64)
 	}
 	conn, _ := r.Context().Value(connKey{}).(net.Conn)
@@ -177,23 +177,23 @@
 	if l.NewConnection {
 		work += e.rig.s.Endpoints[e.GroupIndex].HandshakeWork
 	}
-	e.model.Advance(e.rig.now(), e.done)
-	e.jobs++
-	job, ready := e.jobs, make(chan bool, 1)
-	taken := e.model.Arrive(job, work)
-	switch taken {
+	e.model.Advance(e.rig.now(), e.jobDone)
+	e.lastJob++
+	job, ready := e.lastJob, make(chan bool, 1)
+	result := e.model.Arrive(job, work)
+	switch result {
 	case emulator.Accepted:
 		e.waiting[job] = ready
 	case emulator.Down:
-		if e.model.Falls > e.falls {
-			e.falls = e.model.Falls
+		if e.model.Collapses > e.recordedCollapses {
+			e.recordedCollapses = e.model.Collapses
 			e.rig.book.RecordCollapse(e.number, at)
 		}
-		e.abandon()
+		e.dropConns()
 	}
-	e.arm()
+	e.armTimer()
 	e.mu.Unlock()
-	switch taken {
+	switch result {
 	case emulator.Full:
 		e.rig.book.EndLeg(l, "full", e.rig.now())
 		w.Header().Set("Not-Started", "1")
@@ -205,13 +205,13 @@
 		return
 	}
 	select {
-	case ok, there := <-ready:
+	case ok, running := <-ready:
 		switch {
-		case !there: // closed: the process is gone, and so is the connection
+		case !running: // closed: the process is gone, and so is the connection
 			e.rig.book.EndLeg(l, "cut", e.rig.now())
 		case ok:
 			e.rig.book.EndLeg(l, "satisfied", e.rig.now())
-			io.WriteString(w, answerTo(id))
+			io.WriteString(w, answerBody(id))
 		default:
 			e.rig.book.EndLeg(l, "errored", e.rig.now())
 			w.WriteHeader(http.StatusInternalServerError)
@@ -220,18 +220,18 @@
 		e.rig.book.EndLeg(l, "left", e.rig.now())
 		e.mu.Lock()
 		delete(e.waiting, job)
-		e.model.Advance(e.rig.now(), e.done)
+		e.model.Advance(e.rig.now(), e.jobDone)
 		e.model.Cancel(job)
-		e.arm()
+		e.armTimer()
 		e.mu.Unlock()
 	}
 }
 
 func (e *endpoint) close() {
 	e.timer.Stop()
-	e.web.Close()
+	e.httpServer.Close()
 }
 
 // keyOf and answerTo are what an exchange carries and what comes of it, so that neither can be another's.
-func keyOf(id string) string    { return "key-" + id }
-func answerTo(id string) string { return "made for " + id + "\n" }
+func idempotencyKey(id string) string { return "key-" + id }
+func answerBody(id string) string     { return "made for " + id + "\n" }
--- a/internal/rig/handover_test.go
+++ b/internal/rig/handover_test.go
@@ -14,7 +14,7 @@
 // were refused (calls 8, refused 7), took the clients at 6.3 s with the list of 1.28 s and sent to all three endpoints that drained until
 // it heard its own list at 8.3 s: 38 and more attempts past the grace. The same where discovery is slow and no other fault, where it is
 // away over the hand-over, where a second hand-over follows soon, and where it is the new process that hears first and dies.
-func TestBothProcessesKnowWhatOneWasTold(t *testing.T) {
+func TestHandoverProcessesShareListUpdates(t *testing.T) {
 	drain := func(at float64, who ...string) scenario.Fault {
 		return scenario.Fault{Kind: "drain", At: at, Targets: who}
 	}
@@ -41,10 +41,10 @@
 			require.NoError(t, err)
 			s, err = scenario.Parse(name, text)
 			require.NoError(t, err)
-			result, err := (&Rig{Program: program(t, ""), Dir: t.TempDir()}).Run(t.Context(), s)
+			result, err := (&Rig{Program: buildProgram(t, ""), Dir: t.TempDir()}).Run(t.Context(), s)
 			require.NoError(t, err)
-			if many := len(result.Broken); many > 0 {
-				t.Errorf("%d cases, the first: %s: %s", many, result.Broken[0].Rule, result.Broken[0].Details)
+			if brokenCount := len(result.Broken); brokenCount > 0 {
+				t.Errorf("%d cases, the first: %s: %s", brokenCount, result.Broken[0].Rule, result.Broken[0].Details)
 			}
 		})
 	}
--- a/internal/rig/list.go
+++ b/internal/rig/list.go
@@ -15,7 +15,7 @@
 )
 
 // listed is one entry, in the protocol's form.
-type listed struct {
+type listEntry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
 	Zone    string  `json:"zone"`
@@ -28,40 +28,40 @@
 }
 
 // telling is one line of a watch, and the start file's list.
-type telling struct {
-	Version int      `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []listed `json:"servers"`
-	unnamed []listed // out of service, and told by a whole list that does not name them
+type listUpdate struct {
+	Version int         `json:"version"`
+	Full    bool        `json:"full"`
+	Servers []listEntry `json:"servers"`
+	removed []listEntry // out of service, and told by a whole list that does not name them
 }
 
 // wholeList stands in place of a version for a call that asks for all there is.
-const wholeList = -1
+const fullList = -1
 
 // leaveOut has a whole list name only what is in service.
-func (t *telling) leaveOut() {
-	t.Servers = slices.DeleteFunc(t.Servers, func(e listed) bool {
+func (t *listUpdate) keepInService() {
+	t.Servers = slices.DeleteFunc(t.Servers, func(e listEntry) bool {
 		if e.State != "in_service" {
-			t.unnamed = append(t.unnamed, e)
+			t.removed = append(t.removed, e)
 		}
 		return e.State != "in_service"
 	})
 }
 
-type lists struct {
-	rig     *Rig
-	web     *http.Server
-	mu      sync.Mutex
-	version int
-	entries []listed
-	changed chan struct{}
-	off     int // faults that take it down
-	outages int // faults that have taken it down so far
-	late    map[int]time.Duration
-	conns   map[net.Conn]struct{}
-	moved   map[int]bool     // sidecars whose configuration names the other address
-	spoilt  map[int]int      // calls of a sidecar that are still to be spoilt
-	queue   *callqueue.Queue // of calls while a fault leaves the service little capacity; nil for none
+type listServer struct {
+	rig            *Rig
+	httpServer     *http.Server
+	mu             sync.Mutex
+	version        int
+	entries        []listEntry
+	changed        chan struct{}
+	outagesInForce int // faults that take it down
+	outageCount    int // faults that have taken it down so far
+	delays         map[int]time.Duration
+	conns          map[net.Conn]struct{}
+	moved          map[int]bool     // sidecars whose configuration names the other address
+	faultyCalls    map[int]int      // calls of a sidecar that are still to be spoilt
+	callQueue      *callqueue.Queue // of calls while a fault leaves the service little capacity; nil for none
 
 	watchFaults map[int]watchFault // by the fault's number
 	watches     map[int]int        // calls of a sidecar that got a list
@@ -69,7 +69,7 @@
 }
 
 // queuePatience is how long a call waits at a busy service, where that refuses or drops calls that would wait longer.
-const queuePatience = 3 * time.Second
+const maxQueueWait = 3 * time.Second
 
 // Spans after which a change counts as notified, whether or not it was heard: after discovery had it and could be reached, and
 // after a new configuration.
@@ -78,10 +78,10 @@
 	notifiedAfterMoved   = 4 * time.Second
 )
 
-func (r *Rig) newLists() *lists {
-	l := &lists{rig: r, changed: make(chan struct{}), late: map[int]time.Duration{}, conns: map[net.Conn]struct{}{},
-		moved: map[int]bool{}, spoilt: map[int]int{}, watchFaults: map[int]watchFault{}, watches: map[int]int{}}
-	l.web = &http.Server{Handler: l, ErrorLog: r.webLog(), ConnState: func(c net.Conn, s http.ConnState) {
+func (r *Rig) newListServer() *listServer {
+	l := &listServer{rig: r, changed: make(chan struct{}), delays: map[int]time.Duration{}, conns: map[net.Conn]struct{}{},
+		moved: map[int]bool{}, faultyCalls: map[int]int{}, watchFaults: map[int]watchFault{}, watches: map[int]int{}}
+	l.httpServer = &http.Server{Handler: l, ErrorLog: r.serverLog(), ConnState: func(c net.Conn, s http.ConnState) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		switch s {
@@ -94,25 +94,25 @@
 	return l
 }
 
-func (l *lists) open(sidecar int) error {
+func (l *listServer) open(sidecar int) error {
 	for _, row := range []int{rowList, rowListMoved} {
-		ln, err := net.Listen("tcp", l.rig.block.at(row, sidecar))
+		ln, err := net.Listen("tcp", l.rig.addrs.addr(row, sidecar))
 		if err != nil {
-			return l.rig.plain(err)
+			return l.rig.explainLimit(err)
 		}
-		go l.web.Serve(ln)
+		go l.httpServer.Serve(ln)
 	}
 	return nil
 }
 
 // move has a sidecar's next configuration name the other address.
-func (l *lists) move(sidecar int) {
+func (l *listServer) switchAddr(sidecar int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.moved[sidecar] = !l.moved[sidecar]
 }
 
-func (l *lists) hasMoved(sidecar int) bool {
+func (l *listServer) usesMovedAddr(sidecar int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.moved[sidecar]
@@ -120,22 +120,22 @@
 
 // busy leaves the service so much work for one call of each sidecar together; 0 ends it. What it does with calls that would wait
 // long is drawn by the seed.
-func (l *lists) busy(round time.Duration) {
+func (l *listServer) setBusy(roundTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.queue = nil; round > 0 {
+	if l.callQueue = nil; roundTime > 0 {
 		policy := callqueue.Policy(l.rig.s.SeedOf("list-busy") % uint64(callqueue.NumPolicies))
-		l.queue = callqueue.New(round/time.Duration(l.rig.s.Fleet.Sidecars), queuePatience, policy)
-		if l.off > 0 {
-			l.queue.Down()
+		l.callQueue = callqueue.New(roundTime/time.Duration(l.rig.s.Fleet.Sidecars), maxQueueWait, policy)
+		if l.outagesInForce > 0 {
+			l.callQueue.Down()
 		}
 	}
 }
 
 // awaitTurn waits in a busy service's queue; an error says that the call gets no list.
-func (l *lists) awaitTurn(r *http.Request, sidecar int) error {
+func (l *listServer) waitInQueue(r *http.Request, sidecar int) error {
 	l.mu.Lock()
-	queue := l.queue
+	queue := l.callQueue
 	l.mu.Unlock()
 	if queue == nil {
 		return nil
@@ -144,55 +144,55 @@
 }
 
 // spoilNext spoils the next calls of each sidecar.
-func (l *lists) spoilNext(calls int) {
+func (l *listServer) faultNextCalls(calls int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for n := range l.rig.s.Fleet.Sidecars {
-		l.spoilt[n] += calls
+		l.faultyCalls[n] += calls
 	}
 }
 
 // owe enters what went out of service after a version, and is out by now, as told to a sidecar after a while, if the service can be
 // reached until then.
-func (l *lists) owe(sidecar, version int, after time.Duration, why string) {
+func (l *listServer) scheduleNotified(sidecar, version int, after time.Duration, why string) {
 	l.mu.Lock()
-	outages, off := l.outages, l.off > 0
-	var out []int
+	outageCount, isDown := l.outageCount, l.outagesInForce > 0
+	var removed []int
 	for _, e := range l.entries {
 		if e.State != "in_service" && e.version > version {
-			out = append(out, e.number)
+			removed = append(removed, e.number)
 		}
 	}
 	l.mu.Unlock()
-	if off || len(out) == 0 {
+	if isDown || len(removed) == 0 {
 		return // the end of the outage begins the time anew
 	}
 	from := l.rig.now()
 	at := from + float64(after.Milliseconds())
-	l.rig.later(after, func() {
+	l.rig.afterFunc(after, func() {
 		l.mu.Lock()
-		reachable := l.outages == outages
+		reachable := l.outageCount == outageCount
 		l.mu.Unlock()
 		if !reachable || l.rig.listLinkFaulty(sidecar, from, at) || l.rig.sidecar(sidecar) == nil {
 			return
 		}
-		for _, number := range out {
+		for _, number := range removed {
 			l.rig.book.RecordDrain(sidecar, number, at, why)
 		}
 	})
 }
 
-func (l *lists) oweAll(after time.Duration, why string) {
+func (l *listServer) scheduleNotifiedAll(after time.Duration, why string) {
 	for n := range l.rig.s.Fleet.Sidecars {
-		l.owe(n, wholeList, after, why)
+		l.scheduleNotified(n, fullList, after, why)
 	}
 }
 
 // listLinkFaulty tells whether a fault lay on a sidecar's link to the list service within a time.
 func (r *Rig) listLinkFaulty(sidecar int, from, to float64) bool {
 	for f := range r.s.Faults {
-		o := &r.s.Faults[f]
-		if who, _ := r.s.FaultTargets(f); o.Link == "list" && has(who, sidecar) && to >= o.At*1000 && from < o.End()*1000+outageSlack {
+		fault := &r.s.Faults[f]
+		if sidecars, _ := r.s.FaultTargets(f); fault.Link == "list" && containsPlace(sidecars, sidecar) && to >= fault.At*1000 && from < fault.End()*1000+faultAftermathMs {
 			return true
 		}
 	}
@@ -200,10 +200,10 @@
 }
 
 // say enters a change, as late as the faults in force have it.
-func (l *lists) say(e listed) {
+func (l *listServer) publish(e listEntry) {
 	l.mu.Lock()
 	wait := time.Duration(0)
-	for _, w := range l.late {
+	for _, w := range l.delays {
 		wait += w
 	}
 	l.mu.Unlock()
@@ -212,53 +212,53 @@
 		defer l.mu.Unlock()
 		l.version++
 		e.version = l.version
-		if n := slices.IndexFunc(l.entries, func(o listed) bool { return o.ID == e.ID }); n >= 0 {
+		if n := slices.IndexFunc(l.entries, func(o listEntry) bool { return o.ID == e.ID }); n >= 0 {
 			l.entries[n] = e
 		} else {
 			l.entries = append(l.entries, e)
 		}
-		if most := l.watchFaultLocked(watchesEnd); most > 0 {
-			l.planEnd(time.Duration(most*float64(time.Second)), l.version)
+		if maxDelay := l.watchFaultSizeLocked(faultListEnds); maxDelay > 0 {
+			l.scheduleEnd(time.Duration(maxDelay*float64(time.Second)), l.version)
 		}
 		close(l.changed)
 		l.changed = make(chan struct{})
 		if e.State != "in_service" {
-			go l.oweAll(notifiedAfterReached, "discovery had it and could be reached")
+			go l.scheduleNotifiedAll(notifiedAfterReached, "discovery had it and could be reached")
 		}
 	}
 	if wait > 0 {
-		l.rig.later(wait, enter)
+		l.rig.afterFunc(wait, enter)
 	} else {
 		enter()
 	}
 }
 
 // down takes the service away for a fault, or gives it back.
-func (l *lists) down(by int) {
+func (l *listServer) addOutage(by int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.off += by; l.off > 0 {
-		l.outages++
-		if l.queue != nil {
-			l.queue.Down()
+	if l.outagesInForce += by; l.outagesInForce > 0 {
+		l.outageCount++
+		if l.callQueue != nil {
+			l.callQueue.Down()
 		}
 		for c := range l.conns {
-			cut(c)
+			resetConn(c)
 		}
 	} else {
-		if l.queue != nil {
-			l.queue.Up()
+		if l.callQueue != nil {
+			l.callQueue.Up()
 		}
-		go l.oweAll(notifiedAfterReached, "discovery is back")
+		go l.scheduleNotifiedAll(notifiedAfterReached, "discovery is back")
 	}
 }
 
 // spoil answers a call with a fault, if one is due.
-func (l *lists) spoil(sidecar int, w http.ResponseWriter, r *http.Request) bool {
+func (l *listServer) serveFault(sidecar int, w http.ResponseWriter, r *http.Request) bool {
 	l.mu.Lock()
-	due := l.spoilt[sidecar]
+	due := l.faultyCalls[sidecar]
 	if due > 0 {
-		l.spoilt[sidecar]--
+		l.faultyCalls[sidecar]--
 	}
 	version := l.version
 	l.mu.Unlock()
@@ -286,16 +286,16 @@
 }
 
 // since is what a sidecar has not heard of yet; after below 0 is all.
-func (l *lists) since(sidecar, after int) (t telling, changed chan struct{}) {
+func (l *listServer) changesSince(sidecar, after int) (t listUpdate, changed chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t = telling{Version: l.version, Full: after < 0, Servers: []listed{}}
+	t = listUpdate{Version: l.version, Full: after < 0, Servers: []listEntry{}}
 	for _, e := range l.entries {
 		if !t.Full && e.version <= after {
 			continue
 		}
 		if t.Full && e.State == "terminated" {
-			t.unnamed = append(t.unnamed, e)
+			t.removed = append(t.removed, e)
 			continue
 		}
 		e.Addr = l.rig.addrFor(sidecar, e.number)
@@ -304,20 +304,20 @@
 	return t, l.changed
 }
 
-func (l *lists) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	host, at, _ := net.SplitHostPort(r.Context().Value(http.LocalAddrContextKey).(net.Addr).String())
-	sidecar := l.rig.sidecarAt(host, at)
+func (l *listServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	host, port, _ := net.SplitHostPort(r.Context().Value(http.LocalAddrContextKey).(net.Addr).String())
+	sidecar := l.rig.sidecarByListAddr(host, port)
 	l.mu.Lock()
-	off := l.off > 0
+	isDown := l.outagesInForce > 0
 	l.mu.Unlock()
-	if off || sidecar < 0 || r.URL.Path != "/discovery/hosts" {
+	if isDown || sidecar < 0 || r.URL.Path != "/discovery/hosts" {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if l.spoil(sidecar, w, r) {
+	if l.serveFault(sidecar, w, r) {
 		return
 	}
-	if l.awaitTurn(r, sidecar) != nil {
+	if l.waitInQueue(r, sidecar) != nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -24,7 +24,7 @@
 )
 
 // starts run on one thread that never ends: the kernel tells children of the end of the thread that started them.
-var starts = sync.OnceValue(func() chan func() {
+var launcher = sync.OnceValue(func() chan func() {
 	queue := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -38,13 +38,13 @@
 // process is one of them.
 type process struct {
 	*exec.Cmd
-	name    string
-	log     string // file
-	console string
-	ended   chan struct{}
-	err     error
-	want    bool // its end is wanted
-	used    Usage
+	name        string
+	logPath     string // file
+	console     string
+	ended       chan struct{}
+	waitErr     error
+	endExpected bool // its end is wanted
+	usage       Usage
 }
 
 // Usage is what a process used.
@@ -57,28 +57,28 @@
 }
 
 // run starts the program with a start file and a folder that outlasts it.
-func (r *Rig) run(program, name, config, dir, console string) (*process, error) {
-	log := filepath.Join(dir, name+".log")
-	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (r *Rig) startProcess(program, name, config, dir, console string) (*process, error) {
+	logPath := filepath.Join(dir, name+".log")
+	logFile, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer out.Close()
-	p := &process{Cmd: exec.Command(program, "serve"), name: name, log: log, console: console, ended: make(chan struct{})}
+	defer logFile.Close()
+	p := &process{Cmd: exec.Command(program, "serve"), name: name, logPath: logPath, console: console, ended: make(chan struct{})}
 	p.Env = append(os.Environ(), "RELAY_CONFIG="+config, "TMPDIR="+dir, "RELAY_CONSOLE="+console)
 	p.Env = append(p.Env, r.Env...)
-	p.Stdout, p.Stderr = out, out
+	p.Stdout, p.Stderr = logFile, logFile
 	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	begun := make(chan error)
-	starts() <- func() { begun <- p.Start() }
-	if err := <-begun; err != nil {
-		return nil, r.plain(err)
+	started := make(chan error)
+	launcher() <- func() { started <- p.Start() }
+	if err := <-started; err != nil {
+		return nil, r.explainLimit(err)
 	}
 	go func() {
-		p.err = p.Wait()
+		p.waitErr = p.Wait()
 		if s := p.ProcessState; s != nil {
-			p.used.CPUms = float64(s.UserTime()+s.SystemTime()) / 1e6
-			p.used.Exit = s.String()
+			p.usage.CPUms = float64(s.UserTime()+s.SystemTime()) / 1e6
+			p.usage.Exit = s.String()
 		}
 		close(p.ended)
 	}()
@@ -86,36 +86,36 @@
 }
 
 // get asks one address until it says yes, or the process ends, or time is over.
-func (p *process) get(url string, within time.Duration) error {
-	web := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-	last := errors.New("not asked")
+func (p *process) waitForOK(url string, within time.Duration) error {
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
+	lastErr := errors.New("not asked")
 	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-		got, err := web.Get(url)
+		response, err := client.Get(url)
 		if err == nil {
-			got.Body.Close()
-			if got.StatusCode == http.StatusOK {
+			response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				return nil
 			}
-			err = errors.New(got.Status)
+			err = errors.New(response.Status)
 		}
-		last = err
+		lastErr = err
 		select {
 		case <-p.ended:
-			return fmt.Errorf("%s ended at its start (%s): %s", p.name, p.used.Exit, p.tail())
+			return fmt.Errorf("%s ended at its start (%s): %s", p.name, p.usage.Exit, p.logTail())
 		default:
 		}
 	}
-	return fmt.Errorf("%s: no yes at %s within %s: %w", p.name, url, within, last)
+	return fmt.Errorf("%s: no yes at %s within %s: %w", p.name, url, within, lastErr)
 }
 
 // tail is the end of its log.
-func (p *process) tail() string {
-	text, _ := os.ReadFile(p.log)
+func (p *process) logTail() string {
+	text, _ := os.ReadFile(p.logPath)
 	return string(bytes.TrimSpace(text[max(0, len(text)-600):]))
 }
 
 // wait waits for its end.
-func (p *process) wait(within time.Duration) bool {
+func (p *process) endsWithin(within time.Duration) bool {
 	select {
 	case <-p.ended:
 		return true
@@ -125,21 +125,21 @@
 }
 
 // measure reads what it uses now.
-func (p *process) measure() {
+func (p *process) measureUsage() {
 	dir := fmt.Sprintf("/proc/%d/", p.Process.Pid)
-	p.used.Name = p.name
+	p.usage.Name = p.name
 	status, _ := os.ReadFile(dir + "status")
 	if m := regexp.MustCompile(`VmHWM:\s+(\d+)`).FindSubmatch(status); m != nil {
-		p.used.PeakKB, _ = strconv.Atoi(string(m[1]))
+		p.usage.PeakKB, _ = strconv.Atoi(string(m[1]))
 	}
 	if fds, err := os.ReadDir(dir + "fd"); err == nil {
-		p.used.Descriptors = len(fds)
+		p.usage.Descriptors = len(fds)
 	}
 }
 
 // trouble is what in its log or its end fails a rehearsal.
-func (p *process) trouble() error {
-	text, _ := os.ReadFile(p.log)
+func (p *process) failure() error {
+	text, _ := os.ReadFile(p.logPath)
 	for _, mark := range []string{"WARNING: DATA RACE", `"msg":"panic`, "panic: ", "fatal error: "} {
 		if at := bytes.Index(text, []byte(mark)); at >= 0 {
 			return fmt.Errorf("%s: %s", p.name, text[at:min(len(text), at+1500)])
@@ -147,8 +147,8 @@
 	}
 	select {
 	case <-p.ended:
-		if !p.want {
-			return fmt.Errorf("%s ended by itself (%s): %s", p.name, p.used.Exit, p.tail())
+		if !p.endExpected {
+			return fmt.Errorf("%s ended by itself (%s): %s", p.name, p.usage.Exit, p.logTail())
 		}
 	default:
 	}
@@ -156,54 +156,54 @@
 }
 
 // config writes a sidecar's start file.
-func (r *Rig) config(n int, path string) error {
+func (r *Rig) writeConfig(n int, path string) error {
 	zone := r.s.SidecarNodes()[n].Zone
-	known, _ := r.lists.since(n, -1)
-	discovery := r.block.at(rowList, n)
-	if r.lists.hasMoved(n) {
-		discovery = r.block.at(rowListMoved, n)
+	known, _ := r.listServer.changesSince(n, -1)
+	discovery := r.addrs.addr(rowList, n)
+	if r.listServer.usesMovedAddr(n) {
+		discovery = r.addrs.addr(rowListMoved, n)
 	} else if r.links.list[n] != nil {
 		discovery = r.links.list[n].Addr()
 	}
-	text, err := json.MarshalIndent(scenario.StartFile(r.s, n, zone, r.block.at(rowSidecar, n), discovery, known), "", " ")
+	text, err := json.MarshalIndent(scenario.StartFile(r.s, n, zone, r.addrs.addr(rowSidecar, n), discovery, known), "", " ")
 	if err != nil {
 		return err
 	}
-	next, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)) // of its own: two new configurations may come at once
+	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)) // of its own: two new configurations may come at once
 	if err != nil {
 		return err
 	}
-	_, err = next.Write(text)
-	if err = errors.Join(err, next.Close()); err != nil {
+	_, err = file.Write(text)
+	if err = errors.Join(err, file.Close()); err != nil {
 		return err
 	}
-	return os.Rename(next.Name(), path) // a process may read it just now
+	return os.Rename(file.Name(), path) // a process may read it just now
 }
 
 // call asks a console something by hand, again as long as it is told to, and returns when it said yes.
-func call(console, path string, within time.Duration) error {
-	web := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-	last := errors.New("not asked")
+func callConsole(console, path string, within time.Duration) error {
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
+	lastErr := errors.New("not asked")
 	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		got, err := web.Post("http://"+console+path, "", nil)
+		response, err := client.Post("http://"+console+path, "", nil)
 		if err == nil {
 			var body bytes.Buffer
-			body.ReadFrom(got.Body)
-			got.Body.Close()
-			if got.StatusCode == http.StatusOK {
+			body.ReadFrom(response.Body)
+			response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				return nil
 			}
-			err = fmt.Errorf("%s: %s", got.Status, strings.TrimSpace(body.String()))
+			err = fmt.Errorf("%s: %s", response.Status, strings.TrimSpace(body.String()))
 		}
-		last = err
+		lastErr = err
 	}
-	return last
+	return lastErr
 }
 
 // sidecarAt finds whose list address was asked.
-func (r *Rig) sidecarAt(host, at string) int {
+func (r *Rig) sidecarByListAddr(host, port string) int {
 	for n := range r.s.Fleet.Sidecars {
-		if asked := net.JoinHostPort(host, at); r.block.at(rowList, n) == asked || r.block.at(rowListMoved, n) == asked {
+		if addr := net.JoinHostPort(host, port); r.addrs.addr(rowList, n) == addr || r.addrs.addr(rowListMoved, n) == addr {
 			return n
 		}
 	}
--- a/internal/rig/pulse.go
+++ b/internal/rig/pulse.go
@@ -13,60 +13,60 @@
 )
 
 const (
-	pulseBeat = 5 * time.Millisecond
-	pulseLate = 4 * pulseBeat // from which on the rig was late
+	lagProbeInterval = 5 * time.Millisecond
+	lagThreshold     = 4 * lagProbeInterval // from which on the rig was late
 )
 
 // pulse notes when the rig itself had no core.
-func (r *Rig) pulse(ctx context.Context) {
+func (r *Rig) monitorScheduling(ctx context.Context) {
 	for last := r.now(); ctx.Err() == nil; last = r.now() {
-		time.Sleep(pulseBeat)
-		if now := r.now(); now-last > float64(pulseLate.Milliseconds()) {
+		time.Sleep(lagProbeInterval)
+		if now := r.now(); now-last > float64(lagThreshold.Milliseconds()) {
 			r.book.RecordHarnessDelay(last, now)
 		}
 	}
 }
 
 // netPulse notes when the rig read late what had come on a connection. It ends with ctx.
-func (r *Rig) netPulse(ctx context.Context) error {
+func (r *Rig) monitorSocketLag(ctx context.Context) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	defer ln.Close()
-	far, err := net.Dial("tcp", ln.Addr().String())
+	sender, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		return err
 	}
-	near, err := ln.Accept()
+	receiver, err := ln.Accept()
 	if err != nil {
-		far.Close()
+		sender.Close()
 		return err
 	}
-	context.AfterFunc(ctx, func() { far.Close(); near.Close() })
-	go r.sendPulses(ctx, far)
-	go r.readPulses(near)
+	context.AfterFunc(ctx, func() { sender.Close(); receiver.Close() })
+	go r.sendTimestamps(ctx, sender)
+	go r.readTimestamps(receiver)
 	return nil
 }
 
 // sendPulses writes the time, again and again.
-func (r *Rig) sendPulses(ctx context.Context, to net.Conn) {
+func (r *Rig) sendTimestamps(ctx context.Context, to net.Conn) {
 	for ctx.Err() == nil {
 		if binary.Write(to, binary.BigEndian, math.Float64bits(r.now())) != nil {
 			return
 		}
-		time.Sleep(pulseBeat)
+		time.Sleep(lagProbeInterval)
 	}
 }
 
 // readPulses notes by how much each was read later than it was written.
-func (r *Rig) readPulses(from net.Conn) {
-	for text := make([]byte, 8); ; {
-		if _, err := io.ReadFull(from, text); err != nil {
+func (r *Rig) readTimestamps(from net.Conn) {
+	for buffer := make([]byte, 8); ; {
+		if _, err := io.ReadFull(from, buffer); err != nil {
 			return
 		}
-		written := math.Float64frombits(binary.BigEndian.Uint64(text))
-		if now := r.now(); written <= now && now-written > float64(pulseLate.Milliseconds()) {
+		written := math.Float64frombits(binary.BigEndian.Uint64(buffer))
+		if now := r.now(); written <= now && now-written > float64(lagThreshold.Milliseconds()) {
 			r.book.RecordHarnessDelay(written, now)
 		}
 	}
--- a/internal/rig/race_test.go
+++ b/internal/rig/race_test.go
@@ -2,4 +2,4 @@
 
 package rig
 
-func init() { race = true }
+func init() { raceEnabled = true }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -26,72 +26,72 @@
 )
 
 const (
-	upTime         = 60 * time.Second       // for a process to say yes, beside hundreds of others
-	grace          = 550.0                  // ms past the abandon time in which an answer is no loss
-	answerLast     = grace + 1500           // ms past the abandon time that a client waits
-	socketSlack    = 50.0                   // ms that a limit is longer on sockets
-	killAfter      = 700 * time.Millisecond // past the longest abandon time, from SIGTERM to SIGKILL
-	newClientsLast = 300 * time.Millisecond // after SIGTERM; those that are connected go on until the end
-	leaveTime      = 5 * time.Second        // from a drain until the endpoint is gone
-	stayTime       = 10000.0                // ms that one which is gone still answers: whoever sends to it is to be seen
-	eachAtOnce     = 16                     // processes started at once
-	outageSlack    = 1000.0                 // ms after a fault in which what it held up still arrives
+	startTimeout        = 60 * time.Second       // for a process to say yes, beside hundreds of others
+	answerGraceMs       = 550.0                  // ms past the abandon time in which an answer is no loss
+	answerTimeoutMs     = answerGraceMs + 1500   // ms past the abandon time that a client waits
+	socketSlackMs       = 50.0                   // ms that a limit is longer on sockets
+	killDelay           = 700 * time.Millisecond // past the longest abandon time, from SIGTERM to SIGKILL
+	newConnectionPeriod = 300 * time.Millisecond // after SIGTERM; those that are connected go on until the end
+	drainPeriod         = 5 * time.Second        // from a drain until the endpoint is gone
+	removedServingMs    = 10000.0                // ms that one which is gone still answers: whoever sends to it is to be seen
+	maxConcurrentStarts = 16                     // processes started at once
+	faultAftermathMs    = 1000.0                 // ms after a fault in which what it held up still arrives
 )
 
 // complaints are what net/http says of its listeners. All but one of them are the faults that are being played.
-type complaints struct{ rig *Rig }
+type serverErrors struct{ rig *Rig }
 
-func (c complaints) Write(text []byte) (int, error) {
+func (c serverErrors) Write(text []byte) (int, error) {
 	if bytes.Contains(text, []byte(syscall.EMFILE.Error())) {
-		c.rig.fail(c.rig.plain(syscall.EMFILE))
+		c.rig.fail(c.rig.explainLimit(syscall.EMFILE))
 	}
 	return len(text), nil
 }
 
-func (r *Rig) webLog() *log.Logger { return log.New(complaints{r}, "", 0) }
+func (r *Rig) serverLog() *log.Logger { return log.New(serverErrors{r}, "", 0) }
 
 // Rig is one rehearsal.
 type Rig struct {
-	Program string   // the program's file
-	Other   string   // the one that an upgrade starts; Program if empty
-	Dir     string   // for start files, logs and the sidecars' folders
-	Env     []string // more, for the program
-	Say     func(at float64, text string)
-
-	s     *scenario.Scenario
-	book  *records.Book
-	block *block
-	began time.Time
-	zero  atomic.Int64 // ns from began to the first arrivals
-	lists *lists
-	links struct {
+	Program        string   // the program's file
+	UpgradeProgram string   // the one that an upgrade starts; Program if empty
+	Dir            string   // for start files, logs and the sidecars' folders
+	Env            []string // more, for the program
+	OnEvent        func(at float64, text string)
+
+	s            *scenario.Scenario
+	book         *records.Book
+	addrs        *addrBlock
+	startedAt    time.Time
+	trafficStart atomic.Int64 // ns from began to the first arrivals
+	listServer   *listServer
+	links        struct {
 		list, clients, consoles []*links.Link // by sidecar; nil for none
-		class                   []int         // of each sidecar; 0 has no link upstream
-		faults                  [][]int       // of each class
+		classOf                 []int         // of each sidecar; 0 has no link upstream
+		classFaults             [][]int       // of each class
 		upstream                map[[2]int]*links.Link
 	}
 
-	mu        sync.Mutex
-	endpoints []*endpoint
-	current   map[string]*endpoint // by the place's name
-	sidecars  []*process           // nil while it is down
-	all       []*process
-	clients   []*client
-	kills     map[int]float64 // when one of a sidecar's two processes was killed last
-	fault     error
-	stop      context.CancelCauseFunc
-	tasks     sync.WaitGroup
+	mu         sync.Mutex
+	endpoints  []*endpoint
+	current    map[string]*endpoint // by the place's name
+	sidecars   []*process           // nil while it is down
+	processes  []*process
+	clients    []*client
+	lastKillMs map[int]float64 // when one of a sidecar's two processes was killed last
+	firstErr   error
+	cancel     context.CancelCauseFunc
+	faultRuns  sync.WaitGroup
 }
 
 // Result is what a rehearsal showed.
 type Result struct {
-	Scenario  *scenario.Scenario
-	Book      *records.Book
-	Broken    []records.Violation
-	Usage     []Usage
-	Events    []Event
-	Endpoints int // at the start; later ones replaced some of these
-	UpTook    time.Duration
+	Scenario      *scenario.Scenario
+	Book          *records.Book
+	Broken        []records.Violation
+	Usage         []Usage
+	Events        []Event
+	Endpoints     int // at the start; later ones replaced some of these
+	StartDuration time.Duration
 }
 
 // Event is something that was done, for the report.
@@ -102,16 +102,16 @@
 
 // now is ms since the arrivals began.
 func (r *Rig) now() float64 {
-	return float64(int64(time.Since(r.began))-r.zero.Load()) / float64(time.Millisecond)
+	return float64(int64(time.Since(r.startedAt))-r.trafficStart.Load()) / float64(time.Millisecond)
 }
 
 // plain says in words what ran out.
-func (r *Rig) plain(err error) error {
-	var most syscall.Rlimit
-	syscall.Getrlimit(syscall.RLIMIT_NOFILE, &most)
+func (r *Rig) explainLimit(err error) error {
+	var openFiles syscall.Rlimit
+	syscall.Getrlimit(syscall.RLIMIT_NOFILE, &openFiles)
 	switch {
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-		return fmt.Errorf("the rehearsal's own descriptors ran out (the limit is %d): use fewer sidecars or endpoints, or raise ulimit -n: %w", most.Cur, err)
+		return fmt.Errorf("the rehearsal's own descriptors ran out (the limit is %d): use fewer sidecars or endpoints, or raise ulimit -n: %w", openFiles.Cur, err)
 	case errors.Is(err, syscall.EADDRNOTAVAIL):
 		return fmt.Errorf("no port is left for new connections on loopback: use fewer sidecars or less traffic: %w", err)
 	case errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.ENOMEM):
@@ -123,77 +123,77 @@
 // fail ends the rehearsal.
 func (r *Rig) fail(err error) {
 	r.mu.Lock()
-	if r.fault == nil {
-		r.fault = err
+	if r.firstErr == nil {
+		r.firstErr = err
 	}
 	r.mu.Unlock()
-	r.stop(err)
+	r.cancel(err)
 }
 
 // later does something after a while, unless the rehearsal ends before.
-func (r *Rig) later(wait time.Duration, do func()) { time.AfterFunc(wait, do) }
+func (r *Rig) afterFunc(wait time.Duration, do func()) { time.AfterFunc(wait, do) }
 
 // Run plays the scenario. An error says that it could not be played, or that a process failed; broken rules are in the result.
 func (r *Rig) Run(ctx context.Context, s *scenario.Scenario) (*Result, error) {
-	ctx, r.stop = context.WithCancelCause(ctx)
-	defer r.stop(nil)
-	r.s, r.current, r.kills, r.began = s, map[string]*endpoint{}, map[int]float64{}, time.Now()
-	if r.Say == nil {
-		r.Say = func(float64, string) {}
+	ctx, r.cancel = context.WithCancelCause(ctx)
+	defer r.cancel(nil)
+	r.s, r.current, r.lastKillMs, r.startedAt = s, map[string]*endpoint{}, map[int]float64{}, time.Now()
+	if r.OnEvent == nil {
+		r.OnEvent = func(float64, string) {}
 	}
-	terms := records.Terms{AnswerGraceMs: grace, DrainGraceMs: s.Fleet.DrainGrace + socketSlack, FreeExtraLegs: s.Fleet.ExtraFree, ExtraLegRatio: s.Fleet.ExtraRatio, BudgetWindowMs: s.Fleet.BudgetWindow * 1000,
+	terms := records.Terms{AnswerGraceMs: answerGraceMs, DrainGraceMs: s.Fleet.DrainGrace + socketSlackMs, FreeExtraLegs: s.Fleet.ExtraFree, ExtraLegRatio: s.Fleet.ExtraRatio, BudgetWindowMs: s.Fleet.BudgetWindow * 1000,
 		MinServedShare: s.Fleet.HealthyShare}
 	for _, p := range s.Products {
 		terms.Products = append(terms.Products, records.Product{Name: p.Name, ExpectedMs: p.ExpectedTime, AbandonMs: p.AbandonTime,
 			SingleUse: p.Effect == "single-use", Referenced: p.Effect == "referenced"})
 	}
 	r.book = records.New(terms)
-	r.book.LinkSlackMs, r.book.Healthy = r.slack, r.sound
-	go r.pulse(ctx)
-	err := r.netPulse(ctx)
+	r.book.LinkSlackMs, r.book.Healthy = r.linkSlackMs, r.isHealthy
+	go r.monitorScheduling(ctx)
+	err := r.monitorSocketLag(ctx)
 	if err != nil {
-		return nil, r.plain(err)
+		return nil, r.explainLimit(err)
 	}
-	if r.block, err = claim(); err != nil {
+	if r.addrs, err = claimBlock(); err != nil {
 		return nil, err
 	}
-	defer r.block.holder.Close()
-	r.lists = r.newLists()
-	defer r.end()
-	if err := r.build(); err != nil {
-		return nil, r.plain(err)
+	defer r.addrs.listener.Close()
+	r.listServer = r.newListServer()
+	defer r.tearDown()
+	if err := r.setUp(); err != nil {
+		return nil, r.explainLimit(err)
 	}
 	result := &Result{Scenario: s, Book: r.book, Endpoints: len(r.endpoints)}
-	before := time.Now()
+	startedAt := time.Now()
 	if err := r.startAll(ctx); err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		return nil, r.plain(err)
+		return nil, r.explainLimit(err)
 	}
-	result.UpTook = time.Since(before)
-	r.restartClock()
-	say := r.Say
-	r.Say = func(at float64, text string) {
+	result.StartDuration = time.Since(startedAt)
+	r.resetClock()
+	onEvent := r.OnEvent
+	r.OnEvent = func(at float64, text string) {
 		r.mu.Lock()
 		result.Events = append(result.Events, Event{at, text})
 		r.mu.Unlock()
-		say(at, text)
+		onEvent(at, text)
 	}
 	for n := range s.Faults {
-		r.tasks.Go(func() { r.play(ctx, n) })
+		r.faultRuns.Go(func() { r.runFault(ctx, n) })
 	}
-	r.traffic(ctx)
-	r.tasks.Wait()
-	for _, p := range r.all {
-		p.measure()
+	r.sendTraffic(ctx)
+	r.faultRuns.Wait()
+	for _, p := range r.processes {
+		p.measureUsage()
 	}
-	errs := []error{r.fault, r.endAll()}
-	for _, p := range r.all {
-		errs = append(errs, p.trouble())
-		result.Usage = append(result.Usage, p.used)
+	errs := []error{r.firstErr, r.terminateAll()}
+	for _, p := range r.processes {
+		errs = append(errs, p.failure())
+		result.Usage = append(result.Usage, p.usage)
 	}
-	if err := context.Cause(ctx); err != nil && r.fault == nil {
+	if err := context.Cause(ctx); err != nil && r.firstErr == nil {
 		errs = append(errs, err)
 	}
 	result.Broken = r.book.Check()
@@ -201,11 +201,11 @@
 }
 
 // restartClock makes now the start of the arrivals.
-func (r *Rig) restartClock() {
+func (r *Rig) resetClock() {
 	for _, e := range r.endpoints {
 		e.mu.Lock()
 	}
-	r.zero.Store(int64(time.Since(r.began)))
+	r.trafficStart.Store(int64(time.Since(r.startedAt)))
 	for n, e := range r.endpoints {
 		e.model = emulator.New(r.s.EmulatorKind(e.Node), r.s.SeedOf(e.Name), -1e12, 0)
 		r.book.SetInServiceFrom(n, 0)
@@ -214,31 +214,31 @@
 }
 
 // build opens all that stands round the sidecars.
-func (r *Rig) build() error {
-	r.classify()
+func (r *Rig) setUp() error {
+	r.assignLinkClasses()
 	for _, p := range r.s.EndpointNodes() {
 		if _, err := r.addEndpoint(p, p.Name, false); err != nil {
 			return err
 		}
 	}
 	for n := range r.s.Fleet.Sidecars {
-		if err := r.lists.open(n); err != nil {
+		if err := r.listServer.open(n); err != nil {
 			return err
 		}
-		c := &client{rig: r, sidecar: n, addr: r.block.at(rowSidecar, n)}
+		c := &client{rig: r, sidecar: n, addr: r.addrs.addr(rowSidecar, n)}
 		for over, row := range map[string]int{"list": rowListLink, "clients": rowClient, "consoles": rowConsoleLink} {
-			if !r.named(over, n) {
+			if !r.hasLinkFault(over, n) {
 				continue
 			}
-			to := r.block.at(rowList, n)
+			target := r.addrs.addr(rowList, n)
 			if over == "clients" {
-				to = c.addr
+				target = c.addr
 			} else if over == "consoles" {
-				to = r.block.at(rowConsole, n)
+				target = r.addrs.addr(rowConsole, n)
 			}
-			l, err := links.New(r.block.at(row, n), to, r.s.SeedOf(fmt.Sprint(over, n)))
+			l, err := links.New(r.addrs.addr(row, n), target, r.s.SeedOf(fmt.Sprint(over, n)))
 			if err != nil {
-				return r.plain(err)
+				return r.explainLimit(err)
 			}
 			switch over {
 			case "clients":
@@ -255,36 +255,36 @@
 }
 
 // classify puts sidecars whose links upstream have the same faults in one class: they share the links.
-func (r *Rig) classify() {
+func (r *Rig) assignLinkClasses() {
 	n := r.s.Fleet.Sidecars
-	r.links.list, r.links.clients, r.links.consoles, r.links.class = make([]*links.Link, n), make([]*links.Link, n), make([]*links.Link, n), make([]int, n)
-	r.links.upstream, r.links.faults = map[[2]int]*links.Link{}, [][]int{nil}
+	r.links.list, r.links.clients, r.links.consoles, r.links.classOf = make([]*links.Link, n), make([]*links.Link, n), make([]*links.Link, n), make([]int, n)
+	r.links.upstream, r.links.classFaults = map[[2]int]*links.Link{}, [][]int{nil}
 	for s := range n {
-		mine := []int{}
+		sidecarFaults := []int{}
 		for f := range r.s.Faults {
-			if who, _ := r.s.FaultTargets(f); r.s.Faults[f].Link == "upstream" && has(who, s) {
-				mine = append(mine, f)
+			if sidecars, _ := r.s.FaultTargets(f); r.s.Faults[f].Link == "upstream" && containsPlace(sidecars, s) {
+				sidecarFaults = append(sidecarFaults, f)
 			}
 		}
-		class := slices.IndexFunc(r.links.faults, func(o []int) bool { return slices.Equal(o, mine) })
-		if len(mine) == 0 {
+		class := slices.IndexFunc(r.links.classFaults, func(o []int) bool { return slices.Equal(o, sidecarFaults) })
+		if len(sidecarFaults) == 0 {
 			class = 0
 		} else if class < 0 {
-			r.links.faults = append(r.links.faults, mine)
-			class = len(r.links.faults) - 1
+			r.links.classFaults = append(r.links.classFaults, sidecarFaults)
+			class = len(r.links.classFaults) - 1
 		}
-		r.links.class[s] = class
+		r.links.classOf[s] = class
 	}
 }
 
-func has(places []scenario.Node, number int) bool {
+func containsPlace(places []scenario.Node, number int) bool {
 	return slices.ContainsFunc(places, func(p scenario.Node) bool { return p.Number == number })
 }
 
 // named tells whether a fault of such links names a sidecar.
-func (r *Rig) named(over string, sidecar int) bool {
+func (r *Rig) hasLinkFault(over string, sidecar int) bool {
 	for f := range r.s.Faults {
-		if who, _ := r.s.FaultTargets(f); r.s.Faults[f].Link == over && has(who, sidecar) {
+		if sidecars, _ := r.s.FaultTargets(f); r.s.Faults[f].Link == over && containsPlace(sidecars, sidecar) {
 			return true
 		}
 	}
@@ -292,9 +292,9 @@
 }
 
 // hits tells whether a fault's links lead to an endpoint. One that replaced another has no number of the scenario's.
-func (r *Rig) hits(f int, e *endpoint) bool {
-	_, to := r.s.FaultTargets(f)
-	return len(r.s.Faults[f].RemoteEndpoints) == 0 || e.Name == r.s.EndpointNodes()[e.Node.Number].Name && has(to, e.Node.Number)
+func (r *Rig) linkFaultAppliesTo(f int, e *endpoint) bool {
+	_, targets := r.s.FaultTargets(f)
+	return len(r.s.Faults[f].RemoteEndpoints) == 0 || e.Name == r.s.EndpointNodes()[e.Node.Number].Name && containsPlace(targets, e.Node.Number)
 }
 
 func (r *Rig) addEndpoint(p scenario.Node, name string, cold bool) (*endpoint, error) {
@@ -306,16 +306,16 @@
 	if cold {
 		started = float64(time.Now().UnixMilli())
 	}
-	for class, faults := range r.links.faults {
-		if !slices.ContainsFunc(faults, func(f int) bool { return r.hits(f, e) }) {
+	for class, faults := range r.links.classFaults {
+		if !slices.ContainsFunc(faults, func(f int) bool { return r.linkFaultAppliesTo(f, e) }) {
 			continue
 		}
-		if rowClass+class > rowsMost {
-			return nil, fmt.Errorf("links upstream fall into %d classes, more than there are addresses for", len(r.links.faults))
+		if rowFirstClass+class > maxRow {
+			return nil, fmt.Errorf("links upstream fall into %d classes, more than there are addresses for", len(r.links.classFaults))
 		}
-		l, err := links.New(r.block.at(rowClass+class, e.number), e.addr, r.s.SeedOf(fmt.Sprint(class, name)))
+		l, err := links.New(r.addrs.addr(rowFirstClass+class, e.number), e.addr, r.s.SeedOf(fmt.Sprint(class, name)))
 		if err != nil {
-			return nil, r.plain(err)
+			return nil, r.explainLimit(err)
 		}
 		r.mu.Lock()
 		r.links.upstream[[2]int{class, e.number}] = l
@@ -325,7 +325,7 @@
 	r.endpoints = append(r.endpoints, e)
 	r.current[p.Name] = e
 	r.mu.Unlock()
-	r.lists.say(listed{ID: name, Zone: p.Zone, Cell: 1, State: "in_service", Weight: 1, Started: started, number: e.number})
+	r.listServer.publish(listEntry{ID: name, Zone: p.Zone, Cell: 1, State: "in_service", Weight: 1, Started: started, number: e.number})
 	return e, nil
 }
 
@@ -333,19 +333,19 @@
 func (r *Rig) addrFor(sidecar, number int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if l := r.links.upstream[[2]int{r.links.class[sidecar], number}]; l != nil {
+	if l := r.links.upstream[[2]int{r.links.classOf[sidecar], number}]; l != nil {
 		return l.Addr()
 	}
-	return r.block.at(rowEndpoint, number)
+	return r.addrs.addr(rowEndpoint, number)
 }
 
 // told enters what the list service wrote to a sidecar. A list on a link that is out is told when that is over.
-func (r *Rig) told(sidecar int, entries []listed) {
+func (r *Rig) recordNotified(sidecar int, entries []listEntry) {
 	at := r.now()
 	for f := range r.s.Faults {
-		o := &r.s.Faults[f]
-		if who, _ := r.s.FaultTargets(f); o.Link == "list" && has(who, sidecar) && at >= o.At*1000 && at < o.End()*1000+outageSlack {
-			at = max(at, o.End()*1000+r.s.Fleet.AskWithin*1000)
+		fault := &r.s.Faults[f]
+		if sidecars, _ := r.s.FaultTargets(f); fault.Link == "list" && containsPlace(sidecars, sidecar) && at >= fault.At*1000 && at < fault.End()*1000+faultAftermathMs {
+			at = max(at, fault.End()*1000+r.s.Fleet.AskWithin*1000)
 		}
 	}
 	for _, e := range entries {
@@ -356,17 +356,17 @@
 }
 
 // slack is by how much a leg may have come later than it was sent, for what was done to its link.
-func (r *Rig) slack(sidecar, number int, at float64) (ms float64) {
+func (r *Rig) linkSlackMs(sidecar, number int, at float64) (ms float64) {
 	for f := range r.s.Faults {
-		o := &r.s.Faults[f]
-		if o.Link != "upstream" && o.Kind != "stop" || at < o.At*1000 || at > o.End()*1000+outageSlack {
+		fault := &r.s.Faults[f]
+		if fault.Link != "upstream" && fault.Kind != "stop" || at < fault.At*1000 || at > fault.End()*1000+faultAftermathMs {
 			continue
 		}
-		if who, _ := r.s.FaultTargets(f); !has(who, sidecar) {
+		if sidecars, _ := r.s.FaultTargets(f); !containsPlace(sidecars, sidecar) {
 			continue
 		}
-		if o.Kind == "delay" || o.Kind == "jitter" {
-			ms += 2 * o.Size // a connection comes up before
+		if fault.Kind == "delay" || fault.Kind == "jitter" {
+			ms += 2 * fault.Size // a connection comes up before
 		} else {
 			ms = math.Inf(1)
 		}
@@ -378,7 +378,7 @@
 func (r *Rig) startAll(ctx context.Context) error {
 	n := r.s.Fleet.Sidecars
 	r.sidecars = make([]*process, n)
-	gate, errs := make(chan bool, eachAtOnce), make(chan error, n)
+	gate, errs := make(chan bool, maxConcurrentStarts), make(chan error, n)
 	for s := range n {
 		go func() {
 			gate <- true
@@ -390,38 +390,38 @@
 			errs <- r.startSidecar(s, r.Program, rowConsole)
 		}()
 	}
-	var all error
+	var firstErr error
 	for range n {
-		if err := <-errs; err != nil && all == nil {
-			all = err
+		if err := <-errs; err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
-	return all
+	return firstErr
 }
 
 // startSidecar starts a process for a sidecar and waits until it serves.
-func (r *Rig) startSidecar(s int, program string, consoles int) error {
+func (r *Rig) startSidecar(s int, program string, consoleRow int) error {
 	dir := filepath.Join(r.Dir, fmt.Sprint("s", s))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
 	config := filepath.Join(dir, "start.json")
-	if err := r.config(s, config); err != nil {
+	if err := r.writeConfig(s, config); err != nil {
 		return err
 	}
-	p, err := r.run(program, fmt.Sprint("s", s), config, dir, r.block.at(consoles, s))
+	p, err := r.startProcess(program, fmt.Sprint("s", s), config, dir, r.addrs.addr(consoleRow, s))
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.all = append(r.all, p)
-	beside := r.sidecars[s] != nil && consoles != rowConsole
+	r.processes = append(r.processes, p)
+	isUpgrade := r.sidecars[s] != nil && consoleRow != rowConsole
 	r.mu.Unlock()
-	url := "http://" + r.block.at(rowSidecar, s) + "/up"
-	if beside {
+	url := "http://" + r.addrs.addr(rowSidecar, s) + "/up"
+	if isUpgrade {
 		url = "http://" + p.console + "/healthcheck"
 	}
-	if err := p.get(url, upTime); err != nil {
+	if err := p.waitForOK(url, startTimeout); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -438,7 +438,7 @@
 }
 
 // traffic asks for all exchanges when they are due, and waits for the last one's end.
-func (r *Rig) traffic(ctx context.Context) {
+func (r *Rig) sendTraffic(ctx context.Context) {
 	var out sync.WaitGroup
 	for _, a := range r.s.Arrivals() {
 		if wait := a.At - r.now(); wait > 0 {
@@ -450,21 +450,21 @@
 		if ctx.Err() != nil {
 			break
 		}
-		out.Go(func() { r.clients[a.Sidecar].ask(a) })
+		out.Go(func() { r.clients[a.Sidecar].send(a) })
 	}
 	out.Wait() // each has a deadline
 }
 
 // endAll ends every process in order and says which would not.
-func (r *Rig) endAll() (err error) {
+func (r *Rig) terminateAll() (err error) {
 	var mu sync.Mutex
 	var out sync.WaitGroup
-	for _, p := range r.all {
+	for _, p := range r.processes {
 		out.Go(func() {
-			p.want = p.want || p.err == nil && !p.wait(0)
+			p.endExpected = p.endExpected || p.waitErr == nil && !p.endsWithin(0)
 			p.Process.Signal(syscall.SIGCONT)
 			p.Process.Signal(syscall.SIGTERM)
-			if !p.wait(r.longest() + killAfter + 5*time.Second) {
+			if !p.endsWithin(r.longestAbandon() + killDelay + 5*time.Second) {
 				p.Process.Kill()
 				mu.Lock()
 				err = errors.Join(err, fmt.Errorf("%s did not end after SIGTERM", p.name))
@@ -477,21 +477,21 @@
 	return err
 }
 
-func (r *Rig) longest() time.Duration {
-	most := 0.0
+func (r *Rig) longestAbandon() time.Duration {
+	longestMs := 0.0
 	for _, p := range r.s.Products {
-		most = max(most, p.AbandonTime)
+		longestMs = max(longestMs, p.AbandonTime)
 	}
-	return time.Duration(most * float64(time.Millisecond))
+	return time.Duration(longestMs * float64(time.Millisecond))
 }
 
 // end takes down what is left, whatever happened. It waits for servers that may be telling of a fault just then, and so holds no lock.
-func (r *Rig) end() {
+func (r *Rig) tearDown() {
 	r.mu.Lock()
-	all, endpoints, upstream := slices.Clone(r.all), slices.Clone(r.endpoints), slices.Collect(maps.Values(r.links.upstream))
+	processes, endpoints, upstream := slices.Clone(r.processes), slices.Clone(r.endpoints), slices.Collect(maps.Values(r.links.upstream))
 	r.mu.Unlock()
-	for _, p := range all {
-		if !p.wait(0) {
+	for _, p := range processes {
+		if !p.endsWithin(0) {
 			p.Process.Kill()
 			<-p.ended
 		}
@@ -499,7 +499,7 @@
 	for _, e := range endpoints {
 		e.close()
 	}
-	r.lists.web.Close()
+	r.listServer.httpServer.Close()
 	for _, l := range slices.Concat(upstream, r.links.list, r.links.clients, r.links.consoles) {
 		if l != nil {
 			l.Close()
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -20,16 +20,16 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-var race bool
+var raceEnabled bool
 
 var programs sync.Map
 
 // program builds the program once for all tests, with the race detector where they have it.
-func program(t *testing.T, tags string) string {
+func buildProgram(t *testing.T, tags string) string {
 	once, _ := programs.LoadOrStore(tags, sync.OnceValues(func() (string, error) {
 		path := filepath.Join(os.TempDir(), fmt.Sprintf("lynxjunction-rig-%d%s", os.Getpid(), tags))
 		args := []string{"build", "-o", path, "-tags", tags}
-		if race {
+		if raceEnabled {
 			args = append(args, "-race")
 		}
 		out, err := exec.Command("go", append(args, "github.com/lynxjunction/lynxjunction/cmd/lynxjunction")...).CombinedOutput()
@@ -45,7 +45,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv("RIG_TEST_HOLDER") != "" {
-		holder()
+		runChildRig()
 	}
 	code := m.Run()
 	programs.Range(func(tags, _ any) bool {
@@ -55,7 +55,7 @@
 	os.Exit(code)
 }
 
-func play(t *testing.T, r *Rig, file string) (*Result, error) {
+func runScenario(t *testing.T, r *Rig, file string) (*Result, error) {
 	s, err := scenario.Read(filepath.Join("testdata", file))
 	require.NoError(t, err)
 	r.Dir = t.TempDir()
@@ -63,9 +63,9 @@
 }
 
 // Several processes, every kind of fault between them, and every rule kept. What each client got is counted from its own side.
-func TestEveryFaultAndEveryRuleKept(t *testing.T) {
+func TestAllRulesHoldUnderEveryKindOfFault(t *testing.T) {
 	t.Parallel()
-	result, err := play(t, &Rig{Program: program(t, "")}, "faults.toml")
+	result, err := runScenario(t, &Rig{Program: buildProgram(t, "")}, "faults.toml")
 	require.NoError(t, err)
 	for _, b := range result.Broken {
 		t.Errorf("%s: %s", b.Rule, b.Details)
@@ -86,11 +86,11 @@
 // Clients that leave while their exchanges wait, some with more behind their request, some with a reset: by the endpoints'
 // own accounts nothing, first leg or further, is sent on for them 0.1 s later, steadily, in overload, with endpoints hanging,
 // during restarts and a hand-over. That the check can fail is shown by a program that does not hear of the leaving.
-func TestNothingIsSentOnForClientsThatLeft(t *testing.T) { // not beside the others: its verdict is one of time
+func TestNoLegsAreSentForClientsThatLeft(t *testing.T) { // not beside the others: its verdict is one of time
 	for _, defect := range []string{"", "deserted"} {
 		t.Run("defect "+defect, func(t *testing.T) {
 			t.Parallel()
-			result, err := play(t, &Rig{Program: program(t, "seeded"), Env: []string{"LYNXJUNCTION_DEFECT=" + defect}}, "leave.toml")
+			result, err := runScenario(t, &Rig{Program: buildProgram(t, "seeded"), Env: []string{"LYNXJUNCTION_DEFECT=" + defect}}, "leave.toml")
 			require.NoError(t, err)
 			left, late := result.Book.CountClientsLeft()
 			t.Logf("%d clients left, %d legs came over 0.1 s later", left, late)
@@ -106,12 +106,12 @@
 }
 
 // The checker itself: a defect sown for each rule is found, with its story; without it all is kept.
-func TestSeededDefects(t *testing.T) {
+func TestInjectedDefectsAreDetected(t *testing.T) {
 	t.Parallel()
 	for defect, rule := range map[string]string{"": "", "lost": records.RuleNoExchangeLost, "twice": records.RuleNoDuplicateEffect, "drains": records.RuleDrainsKept, "cold": records.RuleNoColdCollapse, "budget": records.RuleLegBudget} {
 		t.Run("defect "+defect, func(t *testing.T) {
 			t.Parallel()
-			result, err := play(t, &Rig{Program: program(t, "seeded"), Env: []string{"LYNXJUNCTION_DEFECT=" + defect}}, "rules.toml")
+			result, err := runScenario(t, &Rig{Program: buildProgram(t, "seeded"), Env: []string{"LYNXJUNCTION_DEFECT=" + defect}}, "rules.toml")
 			require.NoError(t, err)
 			found := map[string]int{}
 			for _, b := range result.Broken {
@@ -132,9 +132,9 @@
 // left idle and none gets a herd, at any time. An endpoint gets some 120 arrivals a phase; five standard deviations of the
 // binomial are 0.46 of that. A heavy sidecar that was just restarted still keeps to few for a while (2.3 times the mean was seen,
 // docs/fleet.md, open), so that only the whole fleet at one endpoint fails here. How even it is otherwise is tested in virtual time.
-func TestNoHerdAndNoneIdle(t *testing.T) {
+func TestNoEndpointIsOverloadedOrIdle(t *testing.T) {
 	t.Parallel()
-	result, err := play(t, &Rig{Program: program(t, "")}, "even.toml")
+	result, err := runScenario(t, &Rig{Program: buildProgram(t, "")}, "even.toml")
 	require.NoError(t, err)
 	for _, b := range result.Broken {
 		t.Errorf("%s: %s", b.Rule, b.Details)
@@ -148,20 +148,20 @@
 }
 
 // A process that ends by itself, or says no at its start, fails the rehearsal with its own words.
-func TestProcessesThatFail(t *testing.T) {
+func TestFailedProcessesFailTheRun(t *testing.T) {
 	t.Parallel()
 	for name, script := range map[string]string{"refuses": "echo no such thing >&2; exit 1", "crashes": "echo 'panic: here' >&2; exit 2"} {
 		path := filepath.Join(t.TempDir(), name)
 		require.NoError(t, os.WriteFile(path, []byte("#!/bin/sh\n"+script+"\n"), 0o700))
-		_, err := play(t, &Rig{Program: path}, "rules.toml")
+		_, err := runScenario(t, &Rig{Program: path}, "rules.toml")
 		assert.ErrorContains(t, err, "ended at its start (exit status")
 	}
-	_, err := play(t, &Rig{Program: "/nowhere/at/all"}, "rules.toml")
+	_, err := runScenario(t, &Rig{Program: "/nowhere/at/all"}, "rules.toml")
 	assert.ErrorContains(t, err, "no such file")
 }
 
 // holder is a rig in a process of its own, which the test kills.
-func holder() {
+func runChildRig() {
 	s, _ := scenario.Read(filepath.Join("testdata", "rules.toml"))
 	r := &Rig{Program: os.Getenv("RIG_TEST_HOLDER"), Dir: os.Getenv("RIG_TEST_DIR")}
 	if left, _ := strconv.Atoi(os.Getenv("RIG_TEST_FILES")); left > 0 {
@@ -184,22 +184,22 @@
 }
 
 // The rig's own descriptors run out, before or in the middle of it: it says so plainly, and ends.
-func TestDescriptorsRunOut(t *testing.T) {
+func TestDescriptorExhaustionIsReported(t *testing.T) {
 	t.Parallel()
 	for _, left := range []string{"12", "32"} {
 		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), "RIG_TEST_HOLDER="+program(t, ""), "RIG_TEST_DIR="+t.TempDir(), "RIG_TEST_FILES="+left)
+		c.Env = append(os.Environ(), "RIG_TEST_HOLDER="+buildProgram(t, ""), "RIG_TEST_DIR="+t.TempDir(), "RIG_TEST_FILES="+left)
 		out, _ := c.CombinedOutput()
 		assert.Contains(t, string(out), "descriptors ran out (the limit is 200)", "with %s left", left)
 	}
 }
 
 // The rig itself killed: nothing that it started outlives it.
-func TestRigKilled(t *testing.T) {
+func TestChildrenEndWhenTheRigIsKilled(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), "RIG_TEST_HOLDER="+program(t, ""), "RIG_TEST_DIR="+dir)
+	c.Env = append(os.Environ(), "RIG_TEST_HOLDER="+buildProgram(t, ""), "RIG_TEST_DIR="+dir)
 	require.NoError(t, c.Start())
 	children := func() (pids []string) {
 		all, _ := filepath.Glob("/proc/[0-9]*/environ")
--- a/internal/rig/sound.go
+++ b/internal/rig/sound.go
@@ -5,36 +5,36 @@
 
 const (
 	// afterEffect is for how long, in ms, a fault that is over is still felt: endpoints that are avoided, queues that drain.
-	afterEffect = 2000.0
+	afterEffectMs = 2000.0
 	// downtime is how long, in ms, a sidecar that is killed or restarted may take beyond the fault's own time to be back.
-	downtime = 2000.0
+	restartAllowanceMs = 2000.0
 )
 
 // unsoundEndpoints and unsoundSidecars are faults of endpoints, which all sidecars feel, and of the sidecars themselves or their clients.
 // Drains, replacements, trouble of the list service, hand-overs and crowds are no excuse.
 var (
-	unsoundEndpoints = []string{"slow", "hang", "errors", "crash"}
-	unsoundSidecars  = []string{"kill", "restart", "stop", "leave"}
+	endpointFaults = []string{"slow", "hang", "errors", "crash"}
+	sidecarFaults  = []string{"kill", "restart", "stop", "leave"}
 )
 
 // sound tells whether endpoints, links and cores of a sidecar are sound from one time to another, in ms.
-func (r *Rig) sound(sidecar int, from, to float64) bool {
+func (r *Rig) isHealthy(sidecar int, from, to float64) bool {
 	for n := range r.s.Faults {
 		f := &r.s.Faults[n]
-		who, _ := r.s.FaultTargets(n)
-		begins, ends := f.At*1000, f.End()*1000+afterEffect
+		sidecars, _ := r.s.FaultTargets(n)
+		begins, ends := f.At*1000, f.End()*1000+afterEffectMs
 		if f.Stagger > 0 {
-			ends += f.Stagger * 1000 * float64(len(who))
+			ends += f.Stagger * 1000 * float64(len(sidecars))
 		}
-		hit := slices.Contains(unsoundEndpoints, f.Kind)
+		affected := slices.Contains(endpointFaults, f.Kind)
 		switch {
-		case slices.Contains(unsoundSidecars, f.Kind):
-			hit = has(who, sidecar)
-			ends += downtime + float64((r.longest() + killAfter).Milliseconds())
+		case slices.Contains(sidecarFaults, f.Kind):
+			affected = containsPlace(sidecars, sidecar)
+			ends += restartAllowanceMs + float64((r.longestAbandon() + killDelay).Milliseconds())
 		case f.IsLinkFault() && f.Link != "list":
-			hit = has(who, sidecar)
+			affected = containsPlace(sidecars, sidecar)
 		}
-		if hit && from < ends && to > begins {
+		if affected && from < ends && to > begins {
 			return false
 		}
 	}
--- a/internal/rig/watch_test.go
+++ b/internal/rig/watch_test.go
@@ -17,51 +17,51 @@
 )
 
 // listTrial is a list service with two endpoints in service, before one sidecar that is the test.
-type listTrial struct {
+type listServerTest struct {
 	*testing.T
 	rig *Rig
 }
 
-func newListTrial(t *testing.T) *listTrial {
+func newListServerTest(t *testing.T) *listServerTest {
 	s, err := scenario.Read("testdata/rules.toml")
 	require.NoError(t, err)
 	s.Fleet.Sidecars, s.Faults = 1, nil
-	r := &Rig{s: s, book: records.New(records.Terms{}), began: time.Now(), sidecars: []*process{{}}}
-	r.links.class = []int{0}
-	r.block, err = claim()
+	r := &Rig{s: s, book: records.New(records.Terms{}), startedAt: time.Now(), sidecars: []*process{{}}}
+	r.links.classOf = []int{0}
+	r.addrs, err = claimBlock()
 	require.NoError(t, err)
-	r.lists = r.newLists()
-	require.NoError(t, r.lists.open(0))
+	r.listServer = r.newListServer()
+	require.NoError(t, r.listServer.open(0))
 	t.Cleanup(func() {
-		r.lists.web.Close()
-		r.block.holder.Close()
+		r.listServer.httpServer.Close()
+		r.addrs.listener.Close()
 	})
-	c := &listTrial{T: t, rig: r}
+	c := &listServerTest{T: t, rig: r}
 	for n := range 2 {
 		r.book.AddEndpoint(fmt.Sprint("e", n), 0)
-		c.list(n, "in_service")
+		c.publish(n, "in_service")
 	}
 	return c
 }
 
 // list enters an endpoint's state, and returns when.
-func (c *listTrial) list(number int, state string) (at float64) {
+func (c *listServerTest) publish(number int, state string) (at float64) {
 	at = c.rig.now()
-	c.rig.lists.say(listed{ID: fmt.Sprint("e", number), State: state, number: number})
+	c.rig.listServer.publish(listEntry{ID: fmt.Sprint("e", number), State: state, number: number})
 	return at
 }
 
 // heardWatch is what a watch of the test has said.
-type heardWatch struct {
-	lists []telling
-	beats int
-	err   error
-	ended float64
+type watchOutput struct {
+	lists      []listUpdate
+	heartbeats int
+	err        error
+	ended      float64
 }
 
 // watch calls the list service and listens for so long, or until the watch ends.
-func (c *listTrial) watch(after int, within time.Duration) (w heardWatch) {
-	got, err := http.Get(fmt.Sprintf("http://%s/discovery/hosts?watch=1&after=%d", c.rig.block.at(rowList, 0), after))
+func (c *listServerTest) watch(after int, within time.Duration) (w watchOutput) {
+	got, err := http.Get(fmt.Sprintf("http://%s/discovery/hosts?watch=1&after=%d", c.rig.addrs.addr(rowList, 0), after))
 	require.NoError(c, err)
 	defer got.Body.Close()
 	closing := time.AfterFunc(within, func() { got.Body.Close() })
@@ -74,17 +74,17 @@
 			return w
 		}
 		if len(line) == 1 {
-			w.beats++
+			w.heartbeats++
 			continue
 		}
-		var t telling
+		var t listUpdate
 		require.NoError(c, json.Unmarshal(line, &t))
 		w.lists = append(w.lists, t)
 	}
 }
 
 // told is when the sidecar counted as told of an endpoint, and why.
-func (c *listTrial) told(endpoint string) (at float64, why string) {
+func (c *listServerTest) notified(endpoint string) (at float64, why string) {
 	for _, o := range c.rig.book.DrainSummaries() {
 		if o.Endpoint == endpoint {
 			return o.FirstNotifiedAt, o.Source
@@ -93,104 +93,104 @@
 	return -1, ""
 }
 
-const aLittle = 300.0 // ms
+const toleranceMs = 300.0 // ms
 
-func TestListEndsBreaksWatchesOffInPlaceOfTelling(t *testing.T) {
+func TestListEndsBreaksWatchesOffInsteadOfSendingUpdates(t *testing.T) {
 	t.Parallel()
-	c := newListTrial(t)
-	c.rig.lists.setWatchFault(0, watchesEnd, 0.5)
+	c := newListServerTest(t)
+	c.rig.listServer.setWatchFault(0, faultListEnds, 0.5)
 	changed := make(chan float64, 1)
-	time.AfterFunc(200*time.Millisecond, func() { changed <- c.list(0, "terminating") })
-	w := c.watch(wholeList, 10*time.Second)
+	time.AfterFunc(200*time.Millisecond, func() { changed <- c.publish(0, "terminating") })
+	w := c.watch(fullList, 10*time.Second)
 	require.ErrorIs(t, w.err, io.ErrUnexpectedEOF)
 	require.Len(t, w.lists, 1)
 	assert.Len(t, w.lists[0].Servers, 2)
-	assert.InDelta(t, <-changed+250, w.ended, 250+aLittle)
-	at, _ := c.told("e0")
+	assert.InDelta(t, <-changed+250, w.ended, 250+toleranceMs)
+	at, _ := c.notified("e0")
 	assert.Negative(t, at, "not told before its time")
 	time.Sleep(notifiedAfterEnded + 200*time.Millisecond)
-	at, why := c.told("e0")
-	assert.InDelta(t, w.ended+2000, at, aLittle)
+	at, why := c.notified("e0")
+	assert.InDelta(t, w.ended+2000, at, toleranceMs)
 	assert.Equal(t, "a watch ended in place of telling it", why)
 
-	c.list(1, "terminating")
+	c.publish(1, "terminating")
 	time.Sleep(600 * time.Millisecond) // watches have ended for it
 	w = c.watch(w.lists[0].Version, 100*time.Millisecond)
 	require.Len(t, w.lists, 1)
 	assert.True(t, w.lists[0].Full)
 	assert.Empty(t, w.lists[0].Servers, "a whole list leaves out what drains")
-	at, why = c.told("e1")
-	assert.InDelta(t, c.rig.now(), at, aLittle+100)
+	at, why = c.notified("e1")
+	assert.InDelta(t, c.rig.now(), at, toleranceMs+100)
 	assert.Equal(t, "listed as terminating", why)
 }
 
-func TestWhatAWatchMissedIsNotOwedFromItsEndWhileDiscoveryIsDown(t *testing.T) {
+func TestMissedUpdateIsNotDueAfterWatchEndWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
-	c := newListTrial(t)
-	c.rig.lists.setWatchFault(0, watchesEnd, 0.01)
-	time.AfterFunc(100*time.Millisecond, func() { c.list(0, "terminating") })
-	w := c.watch(wholeList, 10*time.Second)
+	c := newListServerTest(t)
+	c.rig.listServer.setWatchFault(0, faultListEnds, 0.01)
+	time.AfterFunc(100*time.Millisecond, func() { c.publish(0, "terminating") })
+	w := c.watch(fullList, 10*time.Second)
 	require.ErrorIs(t, w.err, io.ErrUnexpectedEOF)
 	time.Sleep(500 * time.Millisecond)
-	c.rig.lists.down(1)
+	c.rig.listServer.addOutage(1)
 	time.Sleep(time.Second)
-	c.rig.lists.down(-1)
-	back := c.rig.now()
+	c.rig.listServer.addOutage(-1)
+	restored := c.rig.now()
 	time.Sleep(notifiedAfterEnded)
-	at, _ := c.told("e0")
+	at, _ := c.notified("e0")
 	assert.Negative(t, at)
 	time.Sleep(notifiedAfterReached - notifiedAfterEnded + 200*time.Millisecond)
-	at, why := c.told("e0")
-	assert.InDelta(t, back+6000, at, aLittle)
+	at, why := c.notified("e0")
+	assert.InDelta(t, restored+6000, at, toleranceMs)
 	assert.Equal(t, "discovery is back", why)
 }
 
-func TestListMuteBeatsAndTellsNoChange(t *testing.T) {
+func TestListMuteSendsHeartbeatsButNoUpdates(t *testing.T) {
 	t.Parallel()
-	c := newListTrial(t)
-	c.rig.lists.setWatchFault(0, watchesMute, 1)
+	c := newListServerTest(t)
+	c.rig.listServer.setWatchFault(0, faultListMute, 1)
 	changed := make(chan float64, 1)
 	time.AfterFunc(200*time.Millisecond, func() {
-		changed <- c.list(0, "terminating")
+		changed <- c.publish(0, "terminating")
 		time.Sleep(200 * time.Millisecond) // for the watch to see it
-		c.rig.lists.clearWatchFault(0)
-		c.list(1, "terminating")
+		c.rig.listServer.clearWatchFault(0)
+		c.publish(1, "terminating")
 	})
-	w := c.watch(wholeList, 6500*time.Millisecond)
+	w := c.watch(fullList, 6500*time.Millisecond)
 	assert.Len(t, w.lists, 1, "mute for good")
-	assert.Equal(t, 3, w.beats)
-	at, why := c.told("e0")
-	assert.InDelta(t, <-changed+6000, at, aLittle)
+	assert.Equal(t, 3, w.heartbeats)
+	at, why := c.notified("e0")
+	assert.InDelta(t, <-changed+6000, at, toleranceMs)
 	assert.Equal(t, "discovery had it and could be reached", why)
 	w = c.watch(w.lists[0].Version, 100*time.Millisecond)
 	require.Len(t, w.lists, 1)
 	assert.Len(t, w.lists[0].Servers, 2, "another call hears it")
 }
 
-func TestListSilentSaysNothingAndStaysOpen(t *testing.T) {
+func TestListSilentSendsNothingAndStaysOpen(t *testing.T) {
 	t.Parallel()
-	c := newListTrial(t)
-	time.AfterFunc(2500*time.Millisecond, func() { c.rig.lists.setWatchFault(0, watchesSilent, 1) })
-	time.AfterFunc(3*time.Second, func() { c.list(0, "terminating") })
-	w := c.watch(wholeList, 9*time.Second)
+	c := newListServerTest(t)
+	time.AfterFunc(2500*time.Millisecond, func() { c.rig.listServer.setWatchFault(0, faultListSilent, 1) })
+	time.AfterFunc(3*time.Second, func() { c.publish(0, "terminating") })
+	w := c.watch(fullList, 9*time.Second)
 	assert.Len(t, w.lists, 1)
-	assert.Equal(t, 1, w.beats)
+	assert.Equal(t, 1, w.heartbeats)
 	assert.NotErrorIs(t, w.err, io.ErrUnexpectedEOF)
-	at, why := c.told("e0")
-	assert.InDelta(t, 2000+6000, at, aLittle, "from its last word")
+	at, why := c.notified("e0")
+	assert.InDelta(t, 2000+6000, at, toleranceMs, "from its last word")
 	assert.Equal(t, "a watch was silent for so long", why)
 }
 
 func TestListEndsBreaksAllWatchesOffTogether(t *testing.T) {
 	t.Parallel()
-	c := newListTrial(t)
-	c.rig.lists.setWatchFault(0, watchesEnd, 1)
+	c := newListServerTest(t)
+	c.rig.listServer.setWatchFault(0, faultListEnds, 1)
 	ends := make(chan float64, 10)
 	for range cap(ends) {
-		go func() { ends <- c.watch(wholeList, 10*time.Second).ended }()
+		go func() { ends <- c.watch(fullList, 10*time.Second).ended }()
 	}
 	time.Sleep(300 * time.Millisecond)
-	changed := c.list(0, "terminating")
+	changed := c.publish(0, "terminating")
 	first, last := <-ends, 0.0
 	for range cap(ends) - 1 {
 		last = <-ends
@@ -204,8 +204,8 @@
 	draws := func(seed uint64) (all []float64) {
 		s := &scenario.Scenario{Seed: seed}
 		for n := range 1000 {
-			w := &watch{lists: &lists{rig: &Rig{s: s}}, sidecar: n % 10, number: n / 10}
-			all = append(all, w.chance(watchesMute))
+			w := &watch{server: &listServer{rig: &Rig{s: s}}, sidecar: n % 10, number: n / 10}
+			all = append(all, w.draw(faultListMute))
 		}
 		return all
 	}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -510,14 +510,14 @@
 // EmulatorKind returns the parameters of an endpoint for the emulator.
 func (s *Scenario) EmulatorKind(p Node) emulator.Kind {
 	g := &s.Endpoints[p.GroupIndex]
-	k := emulator.Kind{Slots: g.Slots, Room: g.QueueSize, ColdFrom: g.ColdFrom, ColdFor: g.ColdPeriod * 1000, PauseEvery: g.PauseInterval * 1000,
-		PauseFor: g.PauseLength, Errors: g.ErrorShare, CrowdAt: g.OverloadAt, CrowdSlow: g.OverloadSlowdown, RestFor: g.RecoveryTime * 1000, FallOver: g.FallMultiple,
-		FallWithin: g.FallWindow * 1000, DownFor: g.DownTime * 1000}
+	k := emulator.Kind{Slots: g.Slots, QueueLimit: g.QueueSize, ColdShare: g.ColdFrom, WarmUpMs: g.ColdPeriod * 1000, PauseIntervalMs: g.PauseInterval * 1000,
+		PauseMs: g.PauseLength, ErrorShare: g.ErrorShare, OverloadAt: g.OverloadAt, OverloadSlowdown: g.OverloadSlowdown, RecoveryIdleMs: g.RecoveryTime * 1000, CollapseRatio: g.FallMultiple,
+		CollapseWindowMs: g.FallWindow * 1000, DownMs: g.DownTime * 1000}
 	if g.FallSlack {
-		k.MeanWork = s.meanWork()
+		k.MeanWorkMs = s.meanWork()
 	}
 	for range g.Cores {
-		k.Cores = append(k.Cores, g.Speeds[p.IndexInGroup%len(g.Speeds)])
+		k.CoreSpeeds = append(k.CoreSpeeds, g.Speeds[p.IndexInGroup%len(g.Speeds)])
 	}
 	return k
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -80,7 +80,7 @@
 	assert.Equal(t, []string{"e1", "e3"}, []string{targets[0].Name, targets[1].Name}, "a target that two patterns match is chosen once")
 	targets, remote := s.FaultTargets(1)
 	assert.Equal(t, []int{2, 1}, []int{len(targets), len(remote)})
-	assert.Equal(t, []float64{2}, s.EmulatorKind(s.EndpointNodes()[1]).Cores)
+	assert.Equal(t, []float64{2}, s.EmulatorKind(s.EndpointNodes()[1]).CoreSpeeds)
 	arrivals := s.Arrivals()
 	assert.Equal(t, arrivals, s.Arrivals(), "the same seed gives the same arrivals")
 	assert.InDelta(t, 1000, len(arrivals), 200)
--- a/internal/virtual/faults.go
+++ b/internal/virtual/faults.go
@@ -35,11 +35,11 @@
 	e := sim.currentByName[p.Name]
 	switch f.Kind {
 	case "slow":
-		e.update(func() { e.model.Set(n, emulator.Fault{Slow: f.Size}) })
+		e.update(func() { e.model.Set(n, emulator.Fault{Slowdown: f.Size}) })
 	case "hang":
 		e.update(func() { e.model.Set(n, emulator.Fault{Hang: true}) })
 	case "errors":
-		e.update(func() { e.model.Set(n, emulator.Fault{Errors: f.Size}) })
+		e.update(func() { e.model.Set(n, emulator.Fault{ErrorShare: f.Size}) })
 	case "crash":
 		e.update(func() { e.model.Stop(); e.stopped = true })
 		e.dropAll()
--- a/internal/virtual/golden_days_test.go
+++ b/internal/virtual/golden_days_test.go
@@ -505,7 +505,7 @@
 		}
 		r, known := i.reports[e]
 		if !known || sim.now-r.at >= i.goldenCase.loadReportAgeMs {
-			r = loadReport{sim.now, logic.Load{Held: float64(e.model.Held()), Waiting: 0, Busy: -1}}
+			r = loadReport{sim.now, logic.Load{Held: float64(e.model.JobCount()), Waiting: 0, Busy: -1}}
 			i.reports[e] = r
 		}
 		i.Probed(id, true, r.load)
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -494,7 +494,7 @@
 	if g.ended {
 		return
 	}
-	if e.stopped || !e.model.Up() && e.model.Falls == 0 {
+	if e.stopped || !e.model.Up() && e.model.Collapses == 0 {
 		sim.after(g.exchange.sidecar.oneWayDelay(e), func() { g.reportEnd(logic.NoConnection) })
 		return
 	}
@@ -521,8 +521,8 @@
 			sim.book.EndLeg(g.record, "failed", sim.now)
 			g.returnOutcome(logic.Errored, true)
 		case emulator.Down:
-			if e.model.Falls > e.fallsRecorded {
-				e.fallsRecorded = e.model.Falls
+			if e.model.Collapses > e.fallsRecorded {
+				e.fallsRecorded = e.model.Collapses
 				sim.book.RecordCollapse(e.recordNumber, sim.now)
 			}
 			sim.book.EndLeg(g.record, "cut", sim.now)
