--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -192,24 +192,24 @@
 }
 
 // Advance moves on to now and reports each job that ends on the way, in order.
-func (e *Endpoint) Advance(now float64, each func(Done)) {
+func (e *Endpoint) Advance(now float64, onDone func(Done)) {
 	for e.now < now {
 		if len(e.jobs) == 0 { // nothing can end: only the pace at now matters
 			e.now = now
 			e.passRateChange()
 			return
 		}
-		to := min(e.Next(), now)
-		ended := to == e.nextDone
+		until := min(e.Next(), now)
+		ended := until == e.nextDone
 		for n := range e.jobs[:e.running] {
 			j := &e.jobs[n]
-			workDone := e.jobSpeed(j.core) * (to - e.now)
+			workDone := e.jobSpeed(j.core) * (until - e.now)
 			j.remaining -= workDone
 			e.WorkDoneMs += workDone
 		}
-		e.now = to
+		e.now = until
 		if ended {
-			e.finishJobs(each)
+			e.finishJobs(onDone)
 		}
 		if e.now >= e.rateUntil {
 			e.passRateChange()
@@ -233,7 +233,7 @@
 
 const workEpsilonMs = 1e-9 // work that is left by rounding
 
-func (e *Endpoint) finishJobs(each func(Done)) {
+func (e *Endpoint) finishJobs(onDone func(Done)) {
 	for n := 0; n < e.running; n++ {
 		j := e.jobs[n]
 		if j.remaining > workEpsilonMs {
@@ -241,7 +241,7 @@
 		}
 		e.removeJob(n)
 		n--
-		each(Done{ID: j.ID, At: e.now, OK: !j.fails})
+		onDone(Done{ID: j.ID, At: e.now, OK: !j.fails})
 	}
 	e.startWaiting()
 }
--- a/internal/rig/client.go
+++ b/internal/rig/client.go
@@ -98,62 +98,62 @@
 	if stopped {
 		return
 	}
-	p := &c.rig.s.Products[a.Product]
-	x := &records.Exchange{ID: a.ID, Sidecar: a.Sidecar, Product: a.Product, Work: a.Work, DueAt: a.At}
-	c.rig.book.AddExchange(x)
+	product := &c.rig.scenario.Products[a.Product]
+	exchange := &records.Exchange{ID: a.ID, Sidecar: a.Sidecar, Product: a.Product, Work: a.Work, DueAt: a.At}
+	c.rig.book.AddExchange(exchange)
 	method, headers := "GET", ""
-	if p.Effect != "replayable" {
+	if product.Effect != "replayable" {
 		method, headers = "POST", "Content-Length: 0\r\n"
 	}
-	if p.Effect == "referenced" {
+	if product.Effect == "referenced" {
 		headers += "Idempotency-Key: " + idempotencyKey(a.ID) + "\r\n"
 	}
 	text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nRequest-Timeout: %.0fm\r\n%s\r\n",
-		method, p.Name, a.ID, p.Name, p.AbandonTime, headers)
+		method, product.Name, a.ID, product.Name, product.AbandonTime, headers)
 	sent := 0.0
 	for try := 0; ; try++ {
-		l, err := c.acquire(try > 0)
+		conn, err := c.acquire(try > 0)
 		if err != nil {
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
 				c.rig.fail(c.rig.explainLimit(err))
 			}
-			c.rig.book.RecordAnswer(x, 0, err.Error(), sent, c.rig.now())
+			c.rig.book.RecordAnswer(exchange, 0, err.Error(), sent, c.rig.now())
 			return
 		}
-		reused := l.reused
-		l.SetDeadline(time.Now().Add(time.Duration(p.AbandonTime+answerTimeoutMs) * time.Millisecond))
+		reused := conn.reused
+		conn.SetDeadline(time.Now().Add(time.Duration(product.AbandonTime+answerTimeoutMs) * time.Millisecond))
 		leaveAfter, leaveMode := c.rig.earlyLeave(a)
 		if leaveMode&1 == 1 && leaveAfter > 0 { // more behind it: a part of another request
-			text += "GET /" + p.Name + " HTTP/1.1\r\nHost: h\r\n"
+			text += "GET /" + product.Name + " HTTP/1.1\r\nHost: h\r\n"
 		}
 		var response *http.Response
-		if _, err = io.WriteString(l, text); err == nil {
+		if _, err = io.WriteString(conn, text); err == nil {
 			sent = c.rig.now()
 			if leaveAfter > 0 {
-				l.SetReadDeadline(time.Now().Add(leaveAfter))
+				conn.SetReadDeadline(time.Now().Add(leaveAfter))
 			}
-			_, err = l.reader.Peek(1)
+			_, err = conn.reader.Peek(1)
 			if err != nil && leaveAfter > 0 && isTimeout(err) {
 				if leaveMode&2 == 2 {
-					resetConn(l.Conn)
+					resetConn(conn.Conn)
 				}
-				l.Close()
-				c.rig.book.RecordClientLeft(x, sent, c.rig.now())
+				conn.Close()
+				c.rig.book.RecordClientLeft(exchange, sent, c.rig.now())
 				return
 			}
 			if leaveAfter > 0 { // an answer came first; what stands behind the request makes the connection useless
-				l.SetReadDeadline(time.Now().Add(answerTimeoutMs * time.Millisecond))
-				defer l.Close()
+				conn.SetReadDeadline(time.Now().Add(answerTimeoutMs * time.Millisecond))
+				defer conn.Close()
 			}
 			if err == nil {
-				if response, err = http.ReadResponse(l.reader, nil); err != nil {
+				if response, err = http.ReadResponse(conn.reader, nil); err != nil {
 					err = fmt.Errorf("an answer broken off: %w", err)
 					reused = false
 				}
 			}
 		}
 		if err != nil {
-			l.Close()
+			conn.Close()
 			// A kept connection that the sidecar closed as this was written: it is sent once more, on a new one.
 			if reused && try == 0 && !isTimeout(err) && !(sent > 0 && c.rig.killedSince(c.sidecar, sent)) {
 				sent = 0
@@ -162,7 +162,7 @@
 			if !reused && try == 0 && isClosedUnanswered(err) && c.rig.isFlooded(c.sidecar) {
 				sent = 0 // shut unread, for want of a descriptor
 			}
-			c.rig.book.RecordAnswer(x, 0, err.Error(), sent, c.rig.now())
+			c.rig.book.RecordAnswer(exchange, 0, err.Error(), sent, c.rig.now())
 			return
 		}
 		body, err := io.ReadAll(response.Body)
@@ -172,11 +172,11 @@
 		} else if response.StatusCode == http.StatusOK && string(body) != answerBody(a.ID) {
 			problem = fmt.Sprintf("not made for it: %.40q", body)
 		}
-		c.rig.book.RecordAnswer(x, response.StatusCode, problem, sent, c.rig.now())
+		c.rig.book.RecordAnswer(exchange, response.StatusCode, problem, sent, c.rig.now())
 		if err != nil || response.Close || leaveAfter > 0 {
-			l.Close()
+			conn.Close()
 		} else {
-			c.release(l)
+			c.release(conn)
 		}
 		return
 	}
@@ -185,10 +185,10 @@
 // patience is how long a client waits that will leave early, and in which way it does; 0 for who waits its time. Every other
 // one of a sidecar's clients leaves while the fault lasts.
 func (r *Rig) earlyLeave(a scenario.Arrival) (wait time.Duration, mode uint64) {
-	draw := r.s.SeedOf("leaves " + a.ID)
+	draw := r.scenario.SeedOf("leaves " + a.ID)
 	maxWaitMs := 0.0
-	for n := range r.s.Faults {
-		f := &r.s.Faults[n]
+	for n := range r.scenario.Faults {
+		f := &r.scenario.Faults[n]
 		if now := r.now() / 1000; f.Kind == "leave" && now >= f.At && now < f.End() && r.hasLeavingClients(n, a.Sidecar) {
 			maxWaitMs = f.Size
 		}
@@ -201,7 +201,7 @@
 }
 
 func (r *Rig) hasLeavingClients(n, sidecar int) bool {
-	sidecars, _ := r.s.FaultTargets(n)
+	sidecars, _ := r.scenario.FaultTargets(n)
 	return slices.ContainsFunc(sidecars, func(p scenario.Node) bool { return p.Number == sidecar })
 }
 
--- a/internal/rig/crowd.go
+++ b/internal/rig/crowd.go
@@ -93,9 +93,9 @@
 // crowded tells whether a crowd takes a sidecar's descriptors just now, or did a moment ago.
 func (r *Rig) isFlooded(sidecar int) bool {
 	now := r.now()
-	for n := range r.s.Faults {
-		f := &r.s.Faults[n]
-		if sidecars, _ := r.s.FaultTargets(n); isFlood(f.Kind) && containsPlace(sidecars, sidecar) && now >= f.At*1000 && now < f.End()*1000+faultAftermathMs {
+	for n := range r.scenario.Faults {
+		f := &r.scenario.Faults[n]
+		if sidecars, _ := r.scenario.FaultTargets(n); isFlood(f.Kind) && containsPlace(sidecars, sidecar) && now >= f.At*1000 && now < f.End()*1000+faultAftermathMs {
 			return true
 		}
 	}
--- a/internal/rig/crowd_test.go
+++ b/internal/rig/crowd_test.go
@@ -40,10 +40,10 @@
 	for _, b := range result.Broken {
 		t.Errorf("%s: %s", b.Rule, b.Details)
 	}
-	all := result.Book.Service(2000, 6000, -1)
-	t.Logf("%+v", all)
-	assert.Greater(t, all.Requests, 300)
-	assert.GreaterOrEqual(t, float64(all.InTime), minServedShare*float64(all.Requests))
+	service := result.Book.Service(2000, 6000, -1)
+	t.Logf("%+v", service)
+	assert.Greater(t, service.Requests, 300)
+	assert.GreaterOrEqual(t, float64(service.InTime), minServedShare*float64(service.Requests))
 }
 
 // Idle clients take a sidecar's descriptors, every third with half a head, and come again when they are sent away. Nearly every request
--- a/internal/rig/endpoint.go
+++ b/internal/rig/endpoint.go
@@ -48,7 +48,7 @@
 	}
 	e.number = r.book.AddEndpoint(name, now)
 	e.addr = r.addrs.addr(rowEndpoint, e.number)
-	e.model = emulator.New(r.s.EmulatorKind(p), r.s.SeedOf(name), started, now)
+	e.model = emulator.New(r.scenario.EmulatorKind(p), r.scenario.SeedOf(name), started, now)
 	e.timer = time.AfterFunc(time.Hour, e.timerFired)
 	e.httpServer = &http.Server{Handler: e, IdleTimeout: scenario.EndpointIdleTimeout, ConnState: e.trackConn, ErrorLog: e.rig.serverLog(),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
@@ -74,7 +74,7 @@
 	defer e.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		if len(e.conns) >= e.rig.s.Endpoints[e.GroupIndex].MaxConnections || e.down {
+		if len(e.conns) >= e.rig.scenario.Endpoints[e.GroupIndex].MaxConnections || e.down {
 			resetConn(c)
 			return
 		}
@@ -159,23 +159,23 @@
 	}
 	io.Copy(io.Discard, r.Body)
 	id := r.Header.Get("Request-Id")
-	l := &records.Leg{Exchange: id, Endpoint: e.number, ArrivedAt: at}
+	leg := &records.Leg{Exchange: id, Endpoint: e.number, ArrivedAt: at}
 	exchange := e.rig.book.FindExchange(id)
 	if exchange != nil {
-		l.Work = exchange.Work
-		l.KeyIntact = r.Header.Get("Idempotency-Key") == idempotencyKey(id)
-		l.DeadlineMs, _ = strconv.ParseFloat(strings.TrimSuffix(r.Header.Get("Request-Timeout"), "m"), 64)
+		leg.Work = exchange.Work
+		leg.KeyIntact = r.Header.Get("Idempotency-Key") == idempotencyKey(id)
+		leg.DeadlineMs, _ = strconv.ParseFloat(strings.TrimSuffix(r.Header.Get("Request-Timeout"), "m"), 64)
 	}
 	conn, _ := r.Context().Value(connKey{}).(net.Conn)
 	e.mu.Lock()
 	used, open := e.conns[conn]
-	if l.NewConnection = open && !used; open {
+	if leg.NewConnection = open && !used; open {
 		e.conns[conn] = true
 	}
-	e.rig.book.AddLeg(l)
-	work := l.Work
-	if l.NewConnection {
-		work += e.rig.s.Endpoints[e.GroupIndex].HandshakeWork
+	e.rig.book.AddLeg(leg)
+	work := leg.Work
+	if leg.NewConnection {
+		work += e.rig.scenario.Endpoints[e.GroupIndex].HandshakeWork
 	}
 	e.model.Advance(e.rig.now(), e.jobDone)
 	e.lastJob++
@@ -195,12 +195,12 @@
 	e.mu.Unlock()
 	switch result {
 	case emulator.Full:
-		e.rig.book.EndLeg(l, "full", e.rig.now())
+		e.rig.book.EndLeg(leg, "full", e.rig.now())
 		w.Header().Set("Not-Started", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case emulator.Failed:
-		e.rig.book.EndLeg(l, "failed", e.rig.now())
+		e.rig.book.EndLeg(leg, "failed", e.rig.now())
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -208,16 +208,16 @@
 	case ok, running := <-ready:
 		switch {
 		case !running: // closed: the process is gone, and so is the connection
-			e.rig.book.EndLeg(l, "cut", e.rig.now())
+			e.rig.book.EndLeg(leg, "cut", e.rig.now())
 		case ok:
-			e.rig.book.EndLeg(l, "satisfied", e.rig.now())
+			e.rig.book.EndLeg(leg, "satisfied", e.rig.now())
 			io.WriteString(w, answerBody(id))
 		default:
-			e.rig.book.EndLeg(l, "errored", e.rig.now())
+			e.rig.book.EndLeg(leg, "errored", e.rig.now())
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	case <-r.Context().Done():
-		e.rig.book.EndLeg(l, "left", e.rig.now())
+		e.rig.book.EndLeg(leg, "left", e.rig.now())
 		e.mu.Lock()
 		delete(e.waiting, job)
 		e.model.Advance(e.rig.now(), e.jobDone)
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -29,8 +29,8 @@
 
 // play does one fault, one after the other where it is done to several with a step, and ends it.
 func (r *Rig) runFault(ctx context.Context, n int) {
-	f := &r.s.Faults[n]
-	places, targets := r.s.FaultTargets(n)
+	f := &r.scenario.Faults[n]
+	places, targets := r.scenario.FaultTargets(n)
 	if !r.sleepUntil(ctx, f.At*1000) {
 		return
 	}
--- a/internal/rig/list.go
+++ b/internal/rig/list.go
@@ -124,8 +124,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.callQueue = nil; roundTime > 0 {
-		policy := callqueue.Policy(l.rig.s.SeedOf("list-busy") % uint64(callqueue.NumPolicies))
-		l.callQueue = callqueue.New(roundTime/time.Duration(l.rig.s.Fleet.Sidecars), maxQueueWait, policy)
+		policy := callqueue.Policy(l.rig.scenario.SeedOf("list-busy") % uint64(callqueue.NumPolicies))
+		l.callQueue = callqueue.New(roundTime/time.Duration(l.rig.scenario.Fleet.Sidecars), maxQueueWait, policy)
 		if l.outagesInForce > 0 {
 			l.callQueue.Down()
 		}
@@ -147,7 +147,7 @@
 func (l *listServer) faultNextCalls(calls int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for n := range l.rig.s.Fleet.Sidecars {
+	for n := range l.rig.scenario.Fleet.Sidecars {
 		l.faultyCalls[n] += calls
 	}
 }
@@ -183,16 +183,16 @@
 }
 
 func (l *listServer) scheduleNotifiedAll(after time.Duration, why string) {
-	for n := range l.rig.s.Fleet.Sidecars {
+	for n := range l.rig.scenario.Fleet.Sidecars {
 		l.scheduleNotified(n, fullList, after, why)
 	}
 }
 
 // listLinkFaulty tells whether a fault lay on a sidecar's link to the list service within a time.
 func (r *Rig) listLinkFaulty(sidecar int, from, to float64) bool {
-	for f := range r.s.Faults {
-		fault := &r.s.Faults[f]
-		if sidecars, _ := r.s.FaultTargets(f); fault.Link == "list" && containsPlace(sidecars, sidecar) && to >= fault.At*1000 && from < fault.End()*1000+faultAftermathMs {
+	for f := range r.scenario.Faults {
+		fault := &r.scenario.Faults[f]
+		if sidecars, _ := r.scenario.FaultTargets(f); fault.Link == "list" && containsPlace(sidecars, sidecar) && to >= fault.At*1000 && from < fault.End()*1000+faultAftermathMs {
 			return true
 		}
 	}
@@ -266,7 +266,7 @@
 		return false
 	}
 	const kinds = 5
-	switch l.rig.s.SeedOf(fmt.Sprint("spoilt", sidecar, due, version)) % kinds {
+	switch l.rig.scenario.SeedOf(fmt.Sprint("spoilt", sidecar, due, version)) % kinds {
 	case 0:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case 1:
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -157,7 +157,7 @@
 
 // config writes a sidecar's start file.
 func (r *Rig) writeConfig(n int, path string) error {
-	zone := r.s.SidecarNodes()[n].Zone
+	zone := r.scenario.SidecarNodes()[n].Zone
 	known, _ := r.listServer.changesSince(n, -1)
 	discovery := r.addrs.addr(rowList, n)
 	if r.listServer.usesMovedAddr(n) {
@@ -165,7 +165,7 @@
 	} else if r.links.list[n] != nil {
 		discovery = r.links.list[n].Addr()
 	}
-	text, err := json.MarshalIndent(scenario.StartFile(r.s, n, zone, r.addrs.addr(rowSidecar, n), discovery, known), "", " ")
+	text, err := json.MarshalIndent(scenario.StartFile(r.scenario, n, zone, r.addrs.addr(rowSidecar, n), discovery, known), "", " ")
 	if err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 
 // sidecarAt finds whose list address was asked.
 func (r *Rig) sidecarByListAddr(host, port string) int {
-	for n := range r.s.Fleet.Sidecars {
+	for n := range r.scenario.Fleet.Sidecars {
 		if addr := net.JoinHostPort(host, port); r.addrs.addr(rowList, n) == addr || r.addrs.addr(rowListMoved, n) == addr {
 			return n
 		}
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -58,7 +58,7 @@
 	Env            []string // more, for the program
 	OnEvent        func(at float64, text string)
 
-	s            *scenario.Scenario
+	scenario     *scenario.Scenario
 	book         *records.Book
 	addrs        *addrBlock
 	startedAt    time.Time
@@ -137,7 +137,7 @@
 func (r *Rig) Run(ctx context.Context, s *scenario.Scenario) (*Result, error) {
 	ctx, r.cancel = context.WithCancelCause(ctx)
 	defer r.cancel(nil)
-	r.s, r.current, r.lastKillMs, r.startedAt = s, map[string]*endpoint{}, map[int]float64{}, time.Now()
+	r.scenario, r.current, r.lastKillMs, r.startedAt = s, map[string]*endpoint{}, map[int]float64{}, time.Now()
 	if r.OnEvent == nil {
 		r.OnEvent = func(float64, string) {}
 	}
@@ -207,7 +207,7 @@
 	}
 	r.trafficStart.Store(int64(time.Since(r.startedAt)))
 	for n, e := range r.endpoints {
-		e.model = emulator.New(r.s.EmulatorKind(e.Node), r.s.SeedOf(e.Name), -1e12, 0)
+		e.model = emulator.New(r.scenario.EmulatorKind(e.Node), r.scenario.SeedOf(e.Name), -1e12, 0)
 		r.book.SetInServiceFrom(n, 0)
 		e.mu.Unlock()
 	}
@@ -216,12 +216,12 @@
 // build opens all that stands round the sidecars.
 func (r *Rig) setUp() error {
 	r.assignLinkClasses()
-	for _, p := range r.s.EndpointNodes() {
+	for _, p := range r.scenario.EndpointNodes() {
 		if _, err := r.addEndpoint(p, p.Name, false); err != nil {
 			return err
 		}
 	}
-	for n := range r.s.Fleet.Sidecars {
+	for n := range r.scenario.Fleet.Sidecars {
 		if err := r.listServer.open(n); err != nil {
 			return err
 		}
@@ -236,7 +236,7 @@
 			} else if over == "consoles" {
 				target = r.addrs.addr(rowConsole, n)
 			}
-			l, err := links.New(r.addrs.addr(row, n), target, r.s.SeedOf(fmt.Sprint(over, n)))
+			l, err := links.New(r.addrs.addr(row, n), target, r.scenario.SeedOf(fmt.Sprint(over, n)))
 			if err != nil {
 				return r.explainLimit(err)
 			}
@@ -256,21 +256,21 @@
 
 // classify puts sidecars whose links upstream have the same faults in one class: they share the links.
 func (r *Rig) assignLinkClasses() {
-	n := r.s.Fleet.Sidecars
+	n := r.scenario.Fleet.Sidecars
 	r.links.list, r.links.clients, r.links.consoles, r.links.classOf = make([]*links.Link, n), make([]*links.Link, n), make([]*links.Link, n), make([]int, n)
 	r.links.upstream, r.links.classFaults = map[[2]int]*links.Link{}, [][]int{nil}
 	for s := range n {
-		sidecarFaults := []int{}
-		for f := range r.s.Faults {
-			if sidecars, _ := r.s.FaultTargets(f); r.s.Faults[f].Link == "upstream" && containsPlace(sidecars, s) {
-				sidecarFaults = append(sidecarFaults, f)
+		faults := []int{}
+		for f := range r.scenario.Faults {
+			if sidecars, _ := r.scenario.FaultTargets(f); r.scenario.Faults[f].Link == "upstream" && containsPlace(sidecars, s) {
+				faults = append(faults, f)
 			}
 		}
-		class := slices.IndexFunc(r.links.classFaults, func(o []int) bool { return slices.Equal(o, sidecarFaults) })
-		if len(sidecarFaults) == 0 {
+		class := slices.IndexFunc(r.links.classFaults, func(o []int) bool { return slices.Equal(o, faults) })
+		if len(faults) == 0 {
 			class = 0
 		} else if class < 0 {
-			r.links.classFaults = append(r.links.classFaults, sidecarFaults)
+			r.links.classFaults = append(r.links.classFaults, faults)
 			class = len(r.links.classFaults) - 1
 		}
 		r.links.classOf[s] = class
@@ -283,8 +283,8 @@
 
 // named tells whether a fault of such links names a sidecar.
 func (r *Rig) hasLinkFault(over string, sidecar int) bool {
-	for f := range r.s.Faults {
-		if sidecars, _ := r.s.FaultTargets(f); r.s.Faults[f].Link == over && containsPlace(sidecars, sidecar) {
+	for f := range r.scenario.Faults {
+		if sidecars, _ := r.scenario.FaultTargets(f); r.scenario.Faults[f].Link == over && containsPlace(sidecars, sidecar) {
 			return true
 		}
 	}
@@ -293,8 +293,8 @@
 
 // hits tells whether a fault's links lead to an endpoint. One that replaced another has no number of the scenario's.
 func (r *Rig) linkFaultAppliesTo(f int, e *endpoint) bool {
-	_, targets := r.s.FaultTargets(f)
-	return len(r.s.Faults[f].RemoteEndpoints) == 0 || e.Name == r.s.EndpointNodes()[e.Node.Number].Name && containsPlace(targets, e.Node.Number)
+	_, targets := r.scenario.FaultTargets(f)
+	return len(r.scenario.Faults[f].RemoteEndpoints) == 0 || e.Name == r.scenario.EndpointNodes()[e.Node.Number].Name && containsPlace(targets, e.Node.Number)
 }
 
 func (r *Rig) addEndpoint(p scenario.Node, name string, cold bool) (*endpoint, error) {
@@ -313,7 +313,7 @@
 		if rowFirstClass+class > maxRow {
 			return nil, fmt.Errorf("links upstream fall into %d classes, more than there are addresses for", len(r.links.classFaults))
 		}
-		l, err := links.New(r.addrs.addr(rowFirstClass+class, e.number), e.addr, r.s.SeedOf(fmt.Sprint(class, name)))
+		l, err := links.New(r.addrs.addr(rowFirstClass+class, e.number), e.addr, r.scenario.SeedOf(fmt.Sprint(class, name)))
 		if err != nil {
 			return nil, r.explainLimit(err)
 		}
@@ -342,10 +342,10 @@
 // told enters what the list service wrote to a sidecar. A list on a link that is out is told when that is over.
 func (r *Rig) recordNotified(sidecar int, entries []listEntry) {
 	at := r.now()
-	for f := range r.s.Faults {
-		fault := &r.s.Faults[f]
-		if sidecars, _ := r.s.FaultTargets(f); fault.Link == "list" && containsPlace(sidecars, sidecar) && at >= fault.At*1000 && at < fault.End()*1000+faultAftermathMs {
-			at = max(at, fault.End()*1000+r.s.Fleet.AskWithin*1000)
+	for f := range r.scenario.Faults {
+		fault := &r.scenario.Faults[f]
+		if sidecars, _ := r.scenario.FaultTargets(f); fault.Link == "list" && containsPlace(sidecars, sidecar) && at >= fault.At*1000 && at < fault.End()*1000+faultAftermathMs {
+			at = max(at, fault.End()*1000+r.scenario.Fleet.AskWithin*1000)
 		}
 	}
 	for _, e := range entries {
@@ -357,12 +357,12 @@
 
 // slack is by how much a leg may have come later than it was sent, for what was done to its link.
 func (r *Rig) linkSlackMs(sidecar, number int, at float64) (ms float64) {
-	for f := range r.s.Faults {
-		fault := &r.s.Faults[f]
+	for f := range r.scenario.Faults {
+		fault := &r.scenario.Faults[f]
 		if fault.Link != "upstream" && fault.Kind != "stop" || at < fault.At*1000 || at > fault.End()*1000+faultAftermathMs {
 			continue
 		}
-		if sidecars, _ := r.s.FaultTargets(f); !containsPlace(sidecars, sidecar) {
+		if sidecars, _ := r.scenario.FaultTargets(f); !containsPlace(sidecars, sidecar) {
 			continue
 		}
 		if fault.Kind == "delay" || fault.Kind == "jitter" {
@@ -376,7 +376,7 @@
 
 // startAll starts every sidecar and waits until all serve.
 func (r *Rig) startAll(ctx context.Context) error {
-	n := r.s.Fleet.Sidecars
+	n := r.scenario.Fleet.Sidecars
 	r.sidecars = make([]*process, n)
 	gate, errs := make(chan bool, maxConcurrentStarts), make(chan error, n)
 	for s := range n {
@@ -439,8 +439,8 @@
 
 // traffic asks for all exchanges when they are due, and waits for the last one's end.
 func (r *Rig) sendTraffic(ctx context.Context) {
-	var out sync.WaitGroup
-	for _, a := range r.s.Arrivals() {
+	var pending sync.WaitGroup
+	for _, a := range r.scenario.Arrivals() {
 		if wait := a.At - r.now(); wait > 0 {
 			select {
 			case <-ctx.Done():
@@ -450,17 +450,17 @@
 		if ctx.Err() != nil {
 			break
 		}
-		out.Go(func() { r.clients[a.Sidecar].send(a) })
+		pending.Go(func() { r.clients[a.Sidecar].send(a) })
 	}
-	out.Wait() // each has a deadline
+	pending.Wait() // each has a deadline
 }
 
 // endAll ends every process in order and says which would not.
 func (r *Rig) terminateAll() (err error) {
 	var mu sync.Mutex
-	var out sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, p := range r.processes {
-		out.Go(func() {
+		pending.Go(func() {
 			p.endExpected = p.endExpected || p.waitErr == nil && !p.endsWithin(0)
 			p.Process.Signal(syscall.SIGCONT)
 			p.Process.Signal(syscall.SIGTERM)
@@ -473,13 +473,13 @@
 			}
 		})
 	}
-	out.Wait()
+	pending.Wait()
 	return err
 }
 
 func (r *Rig) longestAbandon() time.Duration {
 	longestMs := 0.0
-	for _, p := range r.s.Products {
+	for _, p := range r.scenario.Products {
 		longestMs = max(longestMs, p.AbandonTime)
 	}
 	return time.Duration(longestMs * float64(time.Millisecond))
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -70,15 +70,15 @@
 	for _, b := range result.Broken {
 		t.Errorf("%s: %s", b.Rule, b.Details)
 	}
-	all := result.Book.Service(0, 14000, -1)
-	assert.Greater(t, all.Succeeded, all.Requests/2, "%+v", all)
-	done := strings.Builder{}
+	service := result.Book.Service(0, 14000, -1)
+	assert.Greater(t, service.Succeeded, service.Requests/2, "%+v", service)
+	events := strings.Builder{}
 	for _, e := range result.Events {
-		done.WriteString(e.Text + "\n")
+		events.WriteString(e.Text + "\n")
 		assert.NotContains(t, e.Text, "no yes")
 	}
 	for _, f := range result.Scenario.Faults {
-		assert.Contains(t, done.String(), f.Kind)
+		assert.Contains(t, events.String(), f.Kind)
 	}
 	assert.Len(t, result.Usage, 6+8, "one killed, one restarted, one upgraded, then all but one at once")
 }
--- a/internal/rig/sound.go
+++ b/internal/rig/sound.go
@@ -19,9 +19,9 @@
 
 // sound tells whether endpoints, links and cores of a sidecar are sound from one time to another, in ms.
 func (r *Rig) isHealthy(sidecar int, from, to float64) bool {
-	for n := range r.s.Faults {
-		f := &r.s.Faults[n]
-		sidecars, _ := r.s.FaultTargets(n)
+	for n := range r.scenario.Faults {
+		f := &r.scenario.Faults[n]
+		sidecars, _ := r.scenario.FaultTargets(n)
 		begins, ends := f.At*1000, f.End()*1000+afterEffectMs
 		if f.Stagger > 0 {
 			ends += f.Stagger * 1000 * float64(len(sidecars))
--- a/internal/rig/watch.go
+++ b/internal/rig/watch.go
@@ -73,7 +73,7 @@
 	}
 	ended := make(chan struct{})
 	l.nextEnd = ended
-	share := rand.New(rand.NewPCG(l.rig.s.SeedOf(faultListEnds), uint64(version))).Float64()
+	share := rand.New(rand.NewPCG(l.rig.scenario.SeedOf(faultListEnds), uint64(version))).Float64()
 	l.rig.afterFunc(time.Duration(share*float64(maxDelay)), func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -116,7 +116,7 @@
 
 // chance draws from 0 to 1 for this watch and a fault, by the seed.
 func (w *watch) draw(what string) float64 {
-	return rand.New(rand.NewPCG(w.server.rig.s.SeedOf(what), w.server.rig.s.SeedOf(fmt.Sprint(w.sidecar, "-", w.number)))).Float64()
+	return rand.New(rand.NewPCG(w.server.rig.scenario.SeedOf(what), w.server.rig.scenario.SeedOf(fmt.Sprint(w.sidecar, "-", w.number)))).Float64()
 }
 
 // serve tells the list, or what changed, and then each change until the watch ends.
--- a/internal/rig/watch_test.go
+++ b/internal/rig/watch_test.go
@@ -26,7 +26,7 @@
 	s, err := scenario.Read("testdata/rules.toml")
 	require.NoError(t, err)
 	s.Fleet.Sidecars, s.Faults = 1, nil
-	r := &Rig{s: s, book: records.New(records.Terms{}), startedAt: time.Now(), sidecars: []*process{{}}}
+	r := &Rig{scenario: s, book: records.New(records.Terms{}), startedAt: time.Now(), sidecars: []*process{{}}}
 	r.links.classOf = []int{0}
 	r.addrs, err = claimBlock()
 	require.NoError(t, err)
@@ -204,7 +204,7 @@
 	draws := func(seed uint64) (all []float64) {
 		s := &scenario.Scenario{Seed: seed}
 		for n := range 1000 {
-			w := &watch{server: &listServer{rig: &Rig{s: s}}, sidecar: n % 10, number: n / 10}
+			w := &watch{server: &listServer{rig: &Rig{scenario: s}}, sidecar: n % 10, number: n / 10}
 			all = append(all, w.draw(faultListMute))
 		}
 		return all
