--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,10 +1,11 @@
-// Package emulator is a model of an endpoint: cores of unequal speed, slots, a bounded waiting room, warm-up, pauses, errors,
-// hangs, a crowded state that only idleness lifts, and the fall of a cold one that is pushed over. It has no I/O and no clock
-// of its own: whoever uses it says what time it is, in milliseconds, which never goes back. Two faces use it, loopback sockets
-// (internal/rig) and virtual time (internal/virtual). It knows nothing of who sends, and judges nobody.
+// Package emulator models an endpoint: cores of unequal speed, concurrency slots, a bounded queue, warm-up, pauses,
+// errors, hangs, an overloaded state that ends only after an idle period, and the collapse of a cold endpoint that gets
+// too much work. The model has no I/O and no clock: its caller passes the time, in milliseconds, which must not go
+// backwards. It is used with loopback sockets (internal/rig) and in virtual time (internal/virtual). It does not know the
+// senders and checks no rules.
 //
-// Queueing follows Kleinrock, Queueing Systems, volume 1 (1975): with one slot a core it is G/G/c with a bounded room; more
-// slots than cores share the cores evenly (processor sharing).
+// Queueing follows Kleinrock, Queueing Systems, volume 1 (1975): with one slot per core the model is a G/G/c queue of
+// bounded length; more slots than cores share the cores evenly (processor sharing).
 package emulator
 
 import (
@@ -13,83 +14,90 @@
 	"slices"
 )
 
-// Kind is what endpoints of one sort have in common. Times are in ms, work in ms of a core at speed 1.
+// Kind holds the parameters that endpoints of one kind share. Times are in ms, work in ms of a core with speed 1.
 type Kind struct {
-	CoreSpeeds       []float64 // speed of each
-	Slots            int       // in work at once; at least one
-	QueueLimit       int       // waiting, beyond which it turns away
-	ColdShare        float64   // share of its capacity at the start, above 0; 1 for always warm
-	WarmUpMs         float64   // until it is warm
-	PauseIntervalMs  float64   // mean between two pauses; 0 for none
-	PauseMs          float64
-	ErrorShare       float64 // share of exchanges that end with an error
-	OverloadAt       int     // held at once, from which on it turns crowded; 0 for never
-	OverloadSlowdown float64 // times slower when crowded
-	RecoveryIdleMs   float64 // of holding nothing, until it is not
-	CollapseRatio    float64 // work sent within FallWithin over what a cold one can do in it, above which it falls; 0 for never
+	CoreSpeeds       []float64 // by core; 1 is the speed in which work is measured
+	Slots            int       // jobs that run at the same time; at least one
+	QueueLimit       int       // waiting jobs, beyond which arrivals are refused
+	ColdShare        float64   // share of the full capacity at the start of the process, above 0; 1 for always warm
+	WarmUpMs         float64   // from the start of the process to full capacity
+	PauseIntervalMs  float64   // mean time between two pauses; 0 for none
+	PauseMs          float64   // length of a pause, in which no work is done
+	ErrorShare       float64   // share of jobs that end with an error
+	OverloadAt       int       // jobs held at the same time, from which on the endpoint is overloaded; 0 for never
+	OverloadSlowdown float64   // factor by which an overloaded endpoint is slower
+	RecoveryIdleMs   float64   // time without jobs after which an overloaded endpoint recovers
+	// CollapseRatio is the work sent to a cold endpoint within CollapseWindowMs, relative to its capacity in that time,
+	// above which it collapses; 0 for never.
+	CollapseRatio    float64
 	CollapseWindowMs float64
-	MeanWorkMs       float64 // of a request, by which a fall's slack is counted; 0 for no slack
-	DownMs           float64 // after a fall
+	// MeanWorkMs is the mean work of a request, by which the slack before a collapse is computed (collapseSlack); 0 for
+	// no slack.
+	MeanWorkMs float64
+	DownMs     float64 // time that an endpoint is down after a collapse
 }
 
-// Fault is what goes wrong for a while. Several may be in force; they end in any order.
+// Fault is a temporary fault of an endpoint. Several may be in force; they end in any order.
 type Fault struct {
-	Slowdown   float64 // times slower; 0 for not
-	Hang       bool    // takes all, answers none
-	ErrorShare float64 // share that fails at once
+	Slowdown   float64 // factor by which the endpoint is slower; 0 for none
+	Hang       bool    // accepts all jobs and does no work
+	ErrorShare float64 // share of arrivals that fail at once
 }
 
-// Taken says what became of an exchange that arrives.
+// ArrivalResult is the outcome of a job's arrival.
 type ArrivalResult int
 
 const (
 	Accepted ArrivalResult = iota
-	Full                   // the room is full: it never runs
-	Failed                 // an error, at once
-	Down                   // nobody is there
+	Full                   // refused, as slots and queue are full; the job never runs
+	Failed                 // failed at once by a fault
+	Down                   // the endpoint's process is not running
 )
 
-// Job is an exchange that an endpoint holds.
+// Job is a leg that an endpoint holds, running or waiting.
 type Job struct {
 	ID        uint64
-	remaining float64 // work
-	core      int     // -1 while it waits
-	fails     bool
+	remaining float64 // work left
+	core      int     // number of the core that it runs on; -1 while it waits
+	fails     bool    // it ends with an error
 }
 
 // Done is the end of a job.
 type Done struct {
 	ID uint64
-	At float64
-	OK bool
+	At float64 // time in ms
+	OK bool    // false if it ended with an error
 }
 
-// Endpoint is one endpoint's state.
+// Endpoint is the model of one endpoint with its state.
 type Endpoint struct {
 	Kind
-	now, started   float64
+	now            float64
+	started        float64 // when the process started and began to warm up; in the future while down after a collapse
 	rng            *rand.Rand
-	jobs           []Job // in work first, then those that wait, in order
-	running        int
-	jobsOnCore     []int
-	faults         map[int]Fault
+	jobs           []Job         // the running ones first, then the waiting ones in order of arrival
+	running        int           // number of running jobs
+	jobsOnCore     []int         // number of running jobs on each core
+	faults         map[int]Fault // in force, by number
 	overloaded     bool
-	idleSince      float64
-	pauseStart     float64 // begin of the next or present pause
-	pauseEnd       float64
-	downUntil      float64
-	recentArrivals []arrival // to a cold one, within FallWithin
-	Collapses      int
-	WorkDoneMs     float64 // core ms of work done
-	rate           float64 // capacity now over that of a warm one
-	rateUntil      float64 // rate holds until then
-	nextDone       float64
+	idleSince      float64   // when the last job ended; valid while there are no jobs
+	pauseStart     float64   // start of the present pause, or of the next one
+	pauseEnd       float64   // end of the present or last pause
+	downUntil      float64   // infinite after Stop
+	recentArrivals []arrival // while it is cold, within CollapseWindowMs
+	Collapses      int       // number so far
+	WorkDoneMs     float64   // work done on all cores so far
+	rate           float64   // present capacity, relative to that of a warm endpoint without faults
+	rateUntil      float64   // until when rate is valid
+	nextDone       float64   // when the next job ends, if nextDoneValid
 	nextDoneValid  bool
 }
 
+// arrival is a job that was sent to a cold endpoint.
 type arrival struct{ at, work float64 }
 
-// New is an endpoint whose process started at the given time; one that started long ago is warm.
+// New creates an endpoint whose process started at the given time, which may be in the past: one that started long ago is
+// warm.
 func New(k Kind, seed uint64, started, now float64) *Endpoint {
 	e := &Endpoint{Kind: k, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), jobsOnCore: make([]int, len(k.CoreSpeeds)),
 		faults: map[int]Fault{}, pauseStart: math.Inf(1), now: now}
@@ -97,7 +105,7 @@
 	return e
 }
 
-// Restart drops all that is held and begins anew, cold, at the given time.
+// Restart drops all jobs and starts the process again, cold, at the given time.
 func (e *Endpoint) Restart(at float64) {
 	e.dropJobs()
 	e.started, e.downUntil, e.overloaded, e.idleSince, e.recentArrivals = at, at, false, at, nil
@@ -107,25 +115,29 @@
 	e.updateRate()
 }
 
-// Stop ends the process until Restart. What it held is lost.
+// Stop ends the process until Restart. All jobs are dropped.
 func (e *Endpoint) Stop() { e.dropJobs(); e.downUntil = math.Inf(1) }
 
+// dropJobs removes all jobs without reporting their end.
 func (e *Endpoint) dropJobs() {
 	e.jobs, e.running, e.nextDoneValid = e.jobs[:0], 0, false
 	clear(e.jobsOnCore)
 }
 
-// Set puts a fault in force under a number; Clear ends it.
+// Set puts a fault in force under a number.
 func (e *Endpoint) Set(n int, f Fault) { e.faults[n] = f; e.updateRate() }
-func (e *Endpoint) Clear(n int)        { delete(e.faults, n); e.updateRate() }
 
-// Held is how many exchanges are in hand.
+// Clear ends the fault with a number.
+func (e *Endpoint) Clear(n int) { delete(e.faults, n); e.updateRate() }
+
+// JobCount returns the number of jobs, running and waiting.
 func (e *Endpoint) JobCount() int { return len(e.jobs) }
 
-// Up tells whether a process is there.
+// Up reports whether the endpoint's process is running.
 func (e *Endpoint) Up() bool { return e.now >= e.downUntil }
 
-// Warmth is the share of its capacity that an endpoint has by its age.
+// WarmUpShare returns the share of its full capacity that the endpoint has reached: it grows linearly from ColdShare to 1
+// in WarmUpMs.
 func (e *Endpoint) WarmUpShare() float64 {
 	if e.WarmUpMs <= 0 || e.now-e.started >= e.WarmUpMs {
 		return 1
@@ -133,7 +145,7 @@
 	return e.ColdShare + (1-e.ColdShare)*max(e.now-e.started, 0)/e.WarmUpMs
 }
 
-// Capacity is work a ms, of a warm endpoint without faults.
+// Capacity returns the work that a warm endpoint without faults does in a ms.
 func (e *Endpoint) Capacity() (c float64) {
 	for _, s := range e.CoreSpeeds {
 		c += s
@@ -141,7 +153,7 @@
 	return c
 }
 
-// step works out the rate that holds from now on, and until when.
+// updateRate computes the rate from now on, and until when it is valid. Warm-up proceeds in 64 steps.
 func (e *Endpoint) updateRate() {
 	e.nextDoneValid = false
 	e.rate, e.rateUntil = e.WarmUpShare(), math.Inf(1)
@@ -169,12 +181,13 @@
 	}
 }
 
-// speed is how fast the work of a job on a core gets done.
+// jobSpeed returns the work done in a ms for each job on a core.
 func (e *Endpoint) jobSpeed(core int) float64 {
 	return e.CoreSpeeds[core] * e.rate / float64(e.jobsOnCore[core])
 }
 
-// Next is when something happens by itself: the first end of a job, or a change of pace. Infinite for never.
+// Next returns when the state next changes by itself: the first end of a job or a change of the rate. It is infinite
+// while there are no jobs.
 func (e *Endpoint) Next() float64 {
 	if len(e.jobs) == 0 {
 		return math.Inf(1)
@@ -191,10 +204,10 @@
 	return min(e.nextDone, e.rateUntil)
 }
 
-// Advance moves on to now and reports each job that ends on the way, in order.
+// Advance moves the model's time to now and calls each for every job that ends until then, in order.
 func (e *Endpoint) Advance(now float64, onDone func(Done)) {
 	for e.now < now {
-		if len(e.jobs) == 0 { // nothing can end: only the pace at now matters
+		if len(e.jobs) == 0 { // no job can end, so only the rate at now matters
 			e.now = now
 			e.passRateChange()
 			return
@@ -217,7 +230,7 @@
 	}
 }
 
-// turn passes a change of pace.
+// passRateChange moves on to the pause that is present or next at the model's time, and updates the rate.
 func (e *Endpoint) passRateChange() {
 	for e.now >= e.pauseStart {
 		if e.pauseEnd < e.pauseStart {
@@ -231,8 +244,9 @@
 	e.updateRate()
 }
 
-const workEpsilonMs = 1e-9 // work that is left by rounding
+const workEpsilonMs = 1e-9 // a job with no more work left than this is done; the rest is rounding
 
+// finishJobs ends the jobs whose work is done and starts waiting ones in their slots.
 func (e *Endpoint) finishJobs(onDone func(Done)) {
 	for n := 0; n < e.running; n++ {
 		j := e.jobs[n]
@@ -246,7 +260,7 @@
 	e.startWaiting()
 }
 
-// take removes a job.
+// removeJob removes the job with an index.
 func (e *Endpoint) removeJob(n int) {
 	if j := e.jobs[n]; j.core >= 0 {
 		e.jobsOnCore[j.core]--
@@ -259,7 +273,7 @@
 	e.nextDoneValid = false
 }
 
-// fill starts what waits where a slot is free, on the core that is fastest for it.
+// startWaiting starts waiting jobs while slots are free, each on the core where it runs fastest.
 func (e *Endpoint) startWaiting() {
 	for e.running < min(e.Slots, len(e.jobs)) {
 		best := 0
@@ -275,7 +289,8 @@
 	e.nextDoneValid = false
 }
 
-// Arrive hands in an exchange of so much work. The clock must have been advanced to now before.
+// Arrive gives the endpoint a job with an amount of work. The caller must have called Advance with the present time
+// before.
 func (e *Endpoint) Arrive(id uint64, work float64) ArrivalResult {
 	if !e.Up() {
 		return Down
@@ -309,7 +324,7 @@
 	return Accepted
 }
 
-// overturned tells whether this work pushes a cold endpoint over.
+// collapses reports whether a cold endpoint collapses under the work of an arrival, and records the arrival.
 func (e *Endpoint) collapses(work float64) bool {
 	if e.CollapseRatio <= 0 || e.WarmUpShare() >= 1 {
 		return false
@@ -327,8 +342,9 @@
 	return sum > allowed
 }
 
-// fallSlack is by how many requests of mean work a cold endpoint may get more than the n that it can take: chance brings a few
-// together, and the more so the fewer they are (the operators' term: 2 roots and 2, under 30 requests 3 roots and 3).
+// collapseSlack returns how many requests of mean work a cold endpoint may get in addition to the n that it can take,
+// since random arrivals cluster, relatively more the fewer they are. The formula is the operators': 2*sqrt(n)+2, and
+// 3*sqrt(n)+3 below 30 requests.
 func collapseSlack(n float64) float64 {
 	const few = 30
 	if n < few {
@@ -337,7 +353,7 @@
 	return 2*math.Sqrt(n) + 2
 }
 
-// Cancel lets go of a job, whether it waits or runs; an unknown one is no fault.
+// Cancel removes a job, running or waiting. An unknown ID is ignored.
 func (e *Endpoint) Cancel(id uint64) {
 	if n := slices.IndexFunc(e.jobs, func(j Job) bool { return j.ID == id }); n >= 0 {
 		e.removeJob(n)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -10,8 +10,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// plays lets n exchanges arrive at random and returns, by batch, the mean time each waited before its work and the share of
-// time the cores worked.
+// simulateBatches runs 20 batches of n jobs with Poisson arrivals. It returns for each batch the mean time that jobs
+// waited in the queue, the mean number of jobs held and the utilisation of the cores.
 func simulateBatches(seed uint64, cores int, load float64, draw func(*rand.Rand) float64, n int) (wait, held, busy []float64) {
 	for batch := range 20 {
 		rng := rand.New(rand.NewPCG(seed, uint64(batch)))
@@ -39,14 +39,15 @@
 	return wait, held, busy
 }
 
-// within asserts that the known value lies in the mean's confidence interval (99.9% of Student's t over 20 batches).
+// assertInConfidenceInterval asserts that the known value lies in the confidence interval of the mean (99.9%, Student's t
+// over 20 batches).
 func assertInConfidenceInterval(t *testing.T, name string, known float64, batches []float64) {
 	mean, sd := stat.MeanStdDev(batches, nil)
 	half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(batches) - 1)}.Quantile(0.9995) * sd / math.Sqrt(float64(len(batches)))
-	assert.InDelta(t, known, mean, half, "%s: %.4f, seen %.4f +- %.4f", name, known, mean, half)
+	assert.InDelta(t, known, mean, half, "%s: expected %.4f, measured %.4f +- %.4f", name, known, mean, half)
 }
 
-// erlangC is the chance to wait in M/M/c.
+// erlangC returns the probability of waiting in an M/M/c queue.
 func erlangC(c int, load float64) float64 {
 	a, sum, term := load*float64(c), 0.0, 1.0
 	for k := range c {
@@ -56,7 +57,8 @@
 	return term / (1 - load) / (sum + term/(1-load))
 }
 
-// The model against known results: waits of M/M/c and of M/G/1 (Pollaczek and Khinchine), utilisation, Little's law.
+// Compares the model with known results of queueing theory: waiting times of M/M/c and of M/G/1 (Pollaczek and
+// Khinchine), utilisation and Little's law.
 func TestQueueingMatchesKnownResults(t *testing.T) {
 	exponential := func(d *rand.Rand) float64 { return 10 * d.ExpFloat64() }
 	fixed := func(*rand.Rand) float64 { return 10 }
@@ -86,6 +88,7 @@
 	}
 }
 
+// newSingleCore creates an endpoint with one core of speed 1 and one slot.
 func newSingleCore(k Kind) *Endpoint {
 	k.CoreSpeeds, k.Slots = []float64{1}, 1
 	return New(k, 1, 0, 0)
@@ -94,7 +97,7 @@
 func TestEndpointStates(t *testing.T) {
 	ends := []float64{}
 	recordEnd := func(d Done) { ends = append(ends, d.At) }
-	t.Run("two faults on one endpoint, either end first", func(t *testing.T) {
+	t.Run("two faults on one endpoint, either ends first", func(t *testing.T) {
 		for _, first := range []int{1, 2} {
 			ends = nil
 			e := newSingleCore(Kind{ColdShare: 1, QueueLimit: 9})
@@ -109,14 +112,14 @@
 			assert.Equal(t, []float64{[]float64{0, 115, 112.5}[first]}, ends)
 		}
 	})
-	t.Run("warms up evenly", func(t *testing.T) {
+	t.Run("warms up linearly", func(t *testing.T) {
 		ends = nil
 		e := newSingleCore(Kind{ColdShare: 0.5, WarmUpMs: 100, QueueLimit: 9})
 		e.Arrive(1, 75)
 		e.Advance(1000, recordEnd)
 		assert.InDelta(t, 100, ends[0], 1)
 	})
-	t.Run("crowded until it rests", func(t *testing.T) {
+	t.Run("overloaded until idle for the recovery time", func(t *testing.T) {
 		ends = nil
 		e := newSingleCore(Kind{ColdShare: 1, QueueLimit: 9, OverloadAt: 3, OverloadSlowdown: 2, RecoveryIdleMs: 50})
 		for id := range uint64(3) {
@@ -129,14 +132,14 @@
 		e.Advance(300, recordEnd)
 		assert.Equal(t, []float64{20, 40, 60, 90, 210}, ends)
 	})
-	t.Run("turns away, cancels, falls over when cold, comes back", func(t *testing.T) {
+	t.Run("refuses, cancels, collapses when cold, restarts", func(t *testing.T) {
 		e := newSingleCore(Kind{ColdShare: 0.5, WarmUpMs: 1000, QueueLimit: 1, CollapseRatio: 3, CollapseWindowMs: 20, DownMs: 100})
 		assert.Equal(t, []ArrivalResult{Accepted, Accepted, Full}, []ArrivalResult{e.Arrive(1, 5), e.Arrive(2, 5), e.Arrive(3, 5)})
 		e.Cancel(1)
 		e.Cancel(77)
 		assert.Equal(t, []ArrivalResult{Accepted, Down, Down}, []ArrivalResult{e.Arrive(4, 5), e.Arrive(5, 30), e.Arrive(6, 5)})
 		assert.Equal(t, []int{1, 0}, []int{e.Collapses, e.JobCount()})
-		e.Advance(150, func(Done) { t.Error("what it held is lost") })
+		e.Advance(150, func(Done) { t.Error("a job that was dropped by the collapse ended") })
 		assert.Equal(t, Accepted, e.Arrive(7, 1))
 		assert.InDelta(t, 0.525, e.WarmUpShare(), 0.001)
 	})
@@ -150,11 +153,11 @@
 		e.Arrive(9999, 50000)
 		before := e.now
 		e.Advance(e.now+1e9, func(d Done) { last = d.At })
-		assert.InDelta(t, 2, (last-before)/50000, 0.2, "half of the time")
+		assert.InDelta(t, 2, (last-before)/50000, 0.2, "pauses take half of the time")
 	})
 }
 
-// The slack of a cold endpoint is the operators' term.
+// The slack of a cold endpoint before a collapse follows the operators' formula.
 func TestCollapseSlack(t *testing.T) {
 	for n, want := range map[float64]float64{0: 3, 4: 9, 25: 18, 36: 14, 100: 22} {
 		assert.InDelta(t, want, collapseSlack(n), 1e-9, "%v requests", n)
@@ -165,5 +168,5 @@
 		taken++
 		e.Arrive(uint64(taken), 10)
 	}
-	assert.Equal(t, 8, taken, "one request and its slack of six are allowed; the eighth is one too many")
+	assert.Equal(t, 8, taken, "one request and a slack of six are allowed; the eighth exceeds them")
 }
--- a/internal/links/datagrams.go
+++ b/internal/links/datagrams.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Datagrams is a link for UDP: loss, copies, other order, delay and silence, by direction.
+// Datagrams is a link for UDP: a proxy with loss, duplicates, reordering, delay and silence, by direction.
 type Datagrams struct {
-	Link       // its faults; no TCP passes
-	conn       *net.UDPConn
+	Link                    // only its faults and random numbers are used; no TCP connections pass
+	conn       *net.UDPConn // at the link's own address
 	targetAddr *net.UDPAddr
-	upstreams  sync.Map // of each sender, its own socket towards the other side
+	upstreams  sync.Map // by the sender's address: the socket from which its datagrams go on to the target
 }
 
-// NewDatagrams opens one at a loopback address.
+// NewDatagrams opens a UDP link from a loopback address to a target. The seed determines its random numbers.
 func NewDatagrams(at, to string, seed uint64) (*Datagrams, error) {
 	addr, err := net.ResolveUDPAddr("udp", at)
 	if err != nil {
@@ -50,10 +50,10 @@
 	return d, nil
 }
 
-// Addr is where the link is.
+// Addr returns the link's own address.
 func (d *Datagrams) Addr() string { return d.conn.LocalAddr().String() }
 
-// Set and Clear are as those of a Link; a cut loses all, as silence does.
+// Set puts a fault in force under a number. A cut loses all datagrams, as silence does.
 func (d *Datagrams) Set(n int, f Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,21 +61,22 @@
 	d.faults[n] = f
 }
 
+// Clear ends the fault with a number.
 func (d *Datagrams) Clear(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.faults, n)
 }
 
-// Close ends it.
+// Close closes the link and its sockets.
 func (d *Datagrams) Close() {
 	d.conn.Close()
 	d.upstreams.Range(func(_, way any) bool { way.(*net.UDPConn).Close(); return true })
 }
 
-// hear hands on what comes, as the faults have it.
+// receive reads datagrams and forwards them according to the faults in their direction, until the socket is closed.
 func (d *Datagrams) receive(in *net.UDPConn, direction Direction, forward func(*net.UDPAddr, []byte)) {
-	var held []byte // waits for the next one to pass it
+	var held []byte // a datagram that waits to be overtaken by the next one
 	var heldFrom *net.UDPAddr
 	buffer := make([]byte, 64<<10)
 	for {
--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -1,9 +1,10 @@
-// Package links puts a link that its owner can break between two processes on loopback: TCP connections and UDP datagrams pass
-// it, and faults come and go on it in any order. It needs no special rights and no kernel settings. It decides nothing about
-// what is said on it.
+// Package links provides network links on loopback with fault injection: proxies for TCP connections and UDP datagrams on
+// which faults can be set and cleared in any order. They need no privileges and no kernel settings, and do not interpret
+// the data.
 //
-// What a fault of a link looks like follows TCP (RFC 9293): a cut one refuses and resets; a silent one loses every packet, so
-// that open connections stay open, new ones never come up, and what was sent comes when it is back.
+// The effects of faults follow TCP (RFC 9293). A cut link refuses new connections and resets open ones. A silent link
+// loses every packet: open connections stay open, new ones are never established, and data that was sent arrives when the
+// link works again.
 package links
 
 import (
@@ -18,45 +19,50 @@
 	"golang.org/x/sys/unix"
 )
 
-// Way is a direction. The zero value is both.
+// Direction is a direction of a link. The zero value is both.
 type Direction int
 
 const (
-	Both Direction = iota
-	ToServer
-	ToClient
+	Both     Direction = iota
+	ToServer           // from the client to the target
+	ToClient           // from the target to the client
 )
 
-// Fault is what is wrong with a link in a direction.
+// Fault is a fault of a link in a direction.
 type Fault struct {
 	Direction      Direction
-	Cut, Silent    bool
-	Delay, Jitter  time.Duration // one way; jitter is added, evenly drawn. TCP keeps its order
-	BytesPerSecond float64       // bytes a second; 0 for none
-	// Datagrams only, but for Lose on the way back of TCP: the share of connections that are reset as an answer comes.
-	Loss, Duplicate, Reorder float64
+	Cut            bool          // refuses and resets connections; datagrams are lost
+	Silent         bool          // all packets are lost
+	Delay          time.Duration // one way
+	Jitter         time.Duration // largest additional delay, uniformly distributed; TCP data stays in order
+	BytesPerSecond float64       // bandwidth limit of TCP; 0 for none
+	// Loss is the share of datagrams that are lost. On TCP connections, where it is used towards the client, it is the
+	// share that are reset as an answer arrives.
+	Loss      float64
+	Duplicate float64 // share of datagrams that are delivered twice; UDP only
+	Reorder   float64 // share of datagrams that the next one overtakes; UDP only
 }
 
-// Link leads what comes at its own address to another one.
+// Link is a TCP proxy from its own address to a target.
 type Link struct {
-	target   string
+	target   string // address
 	listener *net.TCPListener
-	addr     *net.TCPAddr
+	addr     *net.TCPAddr // the link's own
 
 	mu          sync.Mutex
-	changed     chan struct{} // closed with each change of the faults
+	changed     chan struct{} // closed with each change of the faults, and by Close
 	rng         *rand.Rand
-	faults      map[int]Fault
+	faults      map[int]Fault // in force, by number
 	conns       map[*proxiedConn]struct{}
-	backlogFill []net.Conn // keep a silent listener's queue full
-	listening   bool
-	closed      bool
+	backlogFill []net.Conn // connections that fill a silent listener's queue; not nil while the link is silent
+	listening   bool       // false while the link is cut
+	closed      bool       // by Close
 }
 
-// pair is one connection through a link.
+// proxiedConn is a connection through a link: the client's connection and the one to the target.
 type proxiedConn struct{ client, server *net.TCPConn }
 
-// reset ends both sides with RST.
+// reset closes both sides with RST.
 func (p *proxiedConn) reset() {
 	for _, c := range []*net.TCPConn{p.client, p.server} {
 		if c != nil {
@@ -66,7 +72,7 @@
 	}
 }
 
-// New opens a link at a loopback address. Chance comes from the seed.
+// New opens a link from a loopback address to a target. The seed determines its random numbers.
 func New(addr, target string, seed uint64) (*Link, error) {
 	l := &Link{target: target, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 1)), faults: map[int]Fault{}, conns: map[*proxiedConn]struct{}{}}
 	tcpAddr, err := net.ResolveTCPAddr("tcp", addr)
@@ -83,11 +89,12 @@
 	return l, nil
 }
 
-// Addr is where the link is.
+// Addr returns the link's own address.
 func (l *Link) Addr() string { return l.addr.String() }
 
+// openListener listens at the link's address and accepts connections.
 func (l *Link) openListener() (err error) {
-	for range 50 { // connections that were reset just now may hold the address for a moment
+	for range 50 { // connections that were just reset may hold the address for a moment
 		if l.listener, err = net.ListenTCP("tcp", l.addr); err == nil {
 			break
 		}
@@ -104,6 +111,7 @@
 	return nil
 }
 
+// accept accepts connections until the listener is closed, except while the link is silent.
 func (l *Link) accept(ln *net.TCPListener) {
 	for {
 		changed := l.nextChange()
@@ -113,7 +121,7 @@
 		}
 		c, err := ln.AcceptTCP()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			continue // it falls silent
+			continue // setSilent set the deadline, as the link has become silent
 		}
 		if err != nil {
 			return
@@ -122,13 +130,14 @@
 	}
 }
 
+// nextChange returns a channel that is closed with the next change of the faults.
 func (l *Link) nextChange() chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// passes tells whether new connections come up.
+// acceptsConns reports whether new connections are accepted: not while the link is silent, in either direction.
 func (l *Link) acceptsConns() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,10 +149,13 @@
 	return true
 }
 
-// Set puts a fault in force under a number; Clear ends it. They may end in any order.
+// Set puts a fault in force under a number. Faults may end in any order.
 func (l *Link) Set(n int, f Fault) { l.update(func() { l.faults[n] = f }) }
-func (l *Link) Clear(n int)        { l.update(func() { delete(l.faults, n) }) }
 
+// Clear ends the fault with a number.
+func (l *Link) Clear(n int) { l.update(func() { delete(l.faults, n) }) }
+
+// update changes the set of faults, and opens, closes or silences the listener accordingly. After Close it does nothing.
 func (l *Link) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,7 +182,8 @@
 	}
 }
 
-// hush fills the queue of a listener that accepts none, so that the kernel drops who comes: its connection never comes up.
+// setSilent begins or ends the silence of the listener. A silent listener accepts no connections and its queue is kept
+// full, so that the kernel drops the packets of new connections, which are never established.
 func (l *Link) setSilent(silent bool) {
 	if silent == (l.backlogFill != nil) {
 		return
@@ -179,7 +192,7 @@
 	if !silent {
 		backlog, until = 4096, time.Time{}
 	}
-	l.listener.SetDeadline(until) // nothing is taken from the queue
+	l.listener.SetDeadline(until) // accepts no more from the queue
 	if raw, err := l.listener.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { unix.Listen(int(fd), backlog) })
 	}
@@ -188,26 +201,27 @@
 	}
 	if l.backlogFill = nil; silent {
 		l.backlogFill = []net.Conn{}
-		if c, err := net.DialTimeout("tcp", l.addr.String(), 50*time.Millisecond); err == nil { // a queue of none has room for one
+		if c, err := net.DialTimeout("tcp", l.addr.String(), 50*time.Millisecond); err == nil { // a backlog of 0 still takes one connection
 			l.backlogFill = append(l.backlogFill, c)
 		}
 	}
 }
 
-// Reset ends all connections that pass the link now.
+// Reset resets all connections that pass the link now.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.resetAll()
 }
 
+// resetAll resets all connections. The lock is held.
 func (l *Link) resetAll() {
 	for p := range l.conns {
 		p.reset()
 	}
 }
 
-// Close ends the link and all that passes it.
+// Close closes the link and resets all connections that pass it.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -223,7 +237,8 @@
 	close(l.changed)
 }
 
-// state sums up the faults of one direction.
+// faultFor combines the faults in force in one direction, except cuts: delays and jitters add up; otherwise the most
+// severe counts.
 func (l *Link) faultFor(direction Direction) (f Fault, changed chan struct{}, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -241,13 +256,14 @@
 	return f, l.changed, l.closed
 }
 
-// draw is a number from 0 to 1.
+// random returns a random number from 0 to 1.
 func (l *Link) random() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Float64()
 }
 
+// proxy connects a client to the target and copies data both ways until both sides have ended.
 func (l *Link) proxy(client *net.TCPConn) {
 	p := &proxiedConn{client: client}
 	conn, err := net.DialTimeout("tcp", l.target, 5*time.Second)
@@ -275,13 +291,14 @@
 	p.server.Close()
 }
 
-// piece is what came at once, and when it is due at the other side. No data is the end.
+// chunk is the data of one read and when it is due at the other side. A chunk without data is the end of the stream.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// pump carries one direction: one reads and says when each piece is due, one writes.
+// copyDirection copies one direction of a connection. One goroutine reads and computes when each chunk is due, another
+// writes the chunks when they are due and the link is not silent.
 func (l *Link) copyDirection(p *proxiedConn, from, to *net.TCPConn, direction Direction) {
 	queue := make(chan chunk, 64)
 	go func() {
@@ -308,7 +325,7 @@
 			}
 			if err != nil {
 				if !errors.Is(err, io.EOF) {
-					p.reset() // a reset passes a link at once
+					p.reset() // a reset passes the link without delay
 				}
 				return
 			}
@@ -334,6 +351,7 @@
 	}
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-const noAnswerWait = 150 * time.Millisecond // in which what must not come would have come long ago
+const noAnswerWait = 150 * time.Millisecond // after which data that must not arrive counts as not arrived; it would have come long before
 const ioTimeout = 20 * time.Second
 
-// echo answers each line with itself.
+// startEchoServer starts a TCP server that sends back what it gets, and returns its address.
 func startEchoServer(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -32,6 +32,7 @@
 	return ln.Addr().String()
 }
 
+// roundTrip sends a line and reads a line back.
 func roundTrip(c net.Conn, within time.Duration) error {
 	c.SetDeadline(time.Now().Add(within))
 	if _, err := fmt.Fprintln(c, "hello"); err != nil {
@@ -55,16 +56,16 @@
 	require.NoError(t, roundTrip(open, ioTimeout))
 
 	l.Set(1, Fault{Silent: true})
-	assert.ErrorContains(t, roundTrip(open, noAnswerWait), "timeout", "half open")
+	assert.ErrorContains(t, roundTrip(open, noAnswerWait), "timeout", "an open connection stays open and carries no data")
 	_, err = net.DialTimeout("tcp", l.Addr(), noAnswerWait)
-	assert.ErrorContains(t, err, "timeout", "a new one never comes up")
-	l.Set(2, Fault{Silent: true, Direction: ToClient}) // two faults, the first ends first
+	assert.ErrorContains(t, err, "timeout", "a new connection is not established")
+	l.Set(2, Fault{Silent: true, Direction: ToClient}) // two overlapping faults, of which the first one ends first
 	l.Clear(1)
 	assert.ErrorContains(t, roundTrip(open, noAnswerWait), "timeout")
 	l.Clear(2)
 	open.SetDeadline(time.Now().Add(ioTimeout))
 	_, err = bufio.NewReader(open).ReadString('\n')
-	assert.NoError(t, err, "what was sent comes when it is back")
+	assert.NoError(t, err, "data that was sent arrives when the link works again")
 	require.NoError(t, roundTrip(dial(), ioTimeout))
 
 	l.Set(3, Fault{Cut: true})
@@ -87,7 +88,7 @@
 		l.Clear(4)
 	}
 	l.Set(5, Fault{Loss: 1, Direction: ToClient})
-	assert.Error(t, roundTrip(dial(), ioTimeout), "reset as the answer comes")
+	assert.Error(t, roundTrip(dial(), ioTimeout), "reset as the answer arrives")
 	l.Clear(5)
 	require.NoError(t, roundTrip(dial(), ioTimeout))
 }
@@ -102,12 +103,13 @@
 	c, err := net.Dial("udp", d.Addr())
 	require.NoError(t, err)
 	defer c.Close()
-	// send sends so many and returns what came, until the mark that is sent without faults.
+	// send sends count datagrams under a fault, then an end mark without faults, and returns the datagrams that arrived
+	// before the mark.
 	send := func(f Fault, count int) (received []string) {
 		d.Set(1, f)
 		for n := range count {
 			fmt.Fprint(c, n)
-			time.Sleep(time.Millisecond / 4) // the kernel's own buffers are no fault of the link
+			time.Sleep(time.Millisecond / 4) // so that the kernel's buffers lose none
 		}
 		time.Sleep(20 * time.Millisecond)
 		d.Clear(1)
@@ -124,7 +126,7 @@
 				server.WriteTo([]byte("ok"), from)
 				c.SetReadDeadline(time.Now().Add(ioTimeout))
 				_, err := c.Read(buffer)
-				require.NoError(t, err, "answers find the way back")
+				require.NoError(t, err, "answers get back to the sender")
 				return received
 			}
 			received = append(received, string(buffer[:n]))
@@ -135,7 +137,7 @@
 	lost := len(send(Fault{Loss: 0.5}, 200))
 	assert.InDelta(t, 100, lost, 42, "six standard deviations")
 	assert.InDelta(t, 150, len(send(Fault{Duplicate: 0.5}, 100)), 30)
-	assert.Equal(t, []string{"1", "0", "3", "2"}, send(Fault{Reorder: 1}, 4), "each other one is passed by the next")
+	assert.Equal(t, []string{"1", "0", "3", "2"}, send(Fault{Reorder: 1}, 4), "every second one is overtaken by the next")
 	assert.Empty(t, send(Fault{Cut: true, Direction: ToServer}, 5))
 }
 
--- a/internal/rig/block.go
+++ b/internal/rig/block.go
@@ -1,5 +1,6 @@
-// Block: the loopback addresses of one rehearsal. This file owns which address is whose. Each rehearsal has a block of its own,
-// so that an endpoint which dies and comes back finds its address free, and two rehearsals on a machine never meet.
+// Loopback addresses of a run. Each run claims a block of addresses of its own, so that an endpoint that crashes and
+// restarts finds its address free, and runs on the same machine do not interfere with each other.
+
 package rig
 
 import (
@@ -9,14 +10,16 @@
 	"os"
 )
 
+// basePort is the port of the first 250 addresses in a row; each further 250 use the next port.
 const basePort = 8080
 
-// block is 127.B.0.0/16 for one B, held by a listener at its first address.
+// addrBlock is the network 127.N.0.0/16 for one N. It is claimed by a listener at its first address.
 type addrBlock struct {
-	octet    int
+	octet    int // N
 	listener net.Listener
 }
 
+// claimBlock finds a free block and claims it.
 func claimBlock() (*addrBlock, error) {
 	for n := range 120 {
 		octet := 2 + (os.Getpid()+n*7)%250
@@ -25,25 +28,25 @@
 			return &addrBlock{octet, ln}, nil
 		}
 	}
-	return nil, errors.New("no block of loopback addresses is free")
+	return nil, errors.New("no free block of loopback addresses (120 tried)")
 }
 
-// at is the address of number n in a row; rows hold up to 25,000.
+// addr returns the address of number n in a row. A row has up to 25,000 addresses.
 func (b *addrBlock) addr(row, n int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", b.octet, 1+row, 1+n%250, basePort+n/250)
 }
 
-// Rows of addresses. From rowClass on there is one for each class of sidecars that share links to endpoints.
+// Rows of addresses. From rowFirstClass on there is one for each class of sidecars that share links to endpoints.
 const (
-	rowSidecar = iota
-	rowClient  // links before sidecars
-	rowConsole
-	rowSecondConsole // of the second process of an upgrade
-	rowConsoleLink
-	rowList
-	rowListLink
-	rowListMoved // where a new configuration finds the list service
-	rowEndpoint
-	rowFirstClass
-	maxRow = 250
+	rowSidecar       = iota // sidecars
+	rowClient               // links from clients to sidecars
+	rowConsole              // consoles of the sidecars' processes
+	rowSecondConsole        // consoles of the second processes during upgrades
+	rowConsoleLink          // links to consoles
+	rowList                 // discovery, one address for each sidecar
+	rowListLink             // links from sidecars to discovery
+	rowListMoved            // second address of discovery for each sidecar, used after a change of configuration
+	rowEndpoint             // endpoints
+	rowFirstClass           // links to endpoints
+	maxRow           = 250  // rows are the third byte of an address, less 1
 )
--- a/internal/rig/client.go
+++ b/internal/rig/client.go
@@ -1,6 +1,7 @@
-// Client: the calling process beside a sidecar. This file owns the clients' connections and their account of each exchange.
-// Arrivals are drawn ahead and wait for nothing; a wait counts from when its exchange was due (no coordinated omission:
-// Tene, How Not to Measure Latency).
+// Client stand-in: sends the requests of a sidecar's client processes, keeps their connections and records the outcome of
+// each exchange. Arrival times are drawn in advance and do not depend on earlier answers; latency counts from when an
+// exchange was due, to avoid coordinated omission (Tene, How Not to Measure Latency).
+
 package rig
 
 import (
@@ -19,27 +20,28 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-// client is that of one sidecar.
+// client stands in for all client processes of one sidecar.
 type client struct {
 	rig            *Rig
 	sidecar        int
 	addr           string
 	mu             sync.Mutex
-	idle           []*clientConn
-	stopped        bool // it is stopped together with its sidecar
-	dialingStopped bool // it opens no more connections, and goes on using those that it has
+	idle           []*clientConn // open connections without a request; the last one used comes last
+	stopped        bool          // its sidecar is down: no requests are sent
+	dialingStopped bool          // no new connections are opened; open ones are still used
 }
 
-// errNoMore is that of a client whose sidecar is told to end.
-var errDialingStopped = errors.New("no more connections are opened")
+// errDialingStopped is returned where a request needs a new connection while the sidecar is shutting down.
+var errDialingStopped = errors.New("client opens no new connections: its sidecar is shutting down")
 
-// line is one connection.
+// clientConn is a connection from a client to its sidecar.
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
-	reused bool
+	reused bool // an earlier exchange was answered on it
 }
 
+// acquire returns an idle connection, or a new one if there is none or fresh is set.
 func (c *client) acquire(fresh bool) (*clientConn, error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 && !fresh {
@@ -60,6 +62,7 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReaderSize(conn, 2048)}, nil
 }
 
+// release keeps a connection for further exchanges.
 func (c *client) release(l *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +70,7 @@
 	c.idle = append(c.idle, l)
 }
 
-// stop ends the client with its sidecar; start begins anew.
+// stop closes the idle connections and sends no more requests until start.
 func (c *client) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,20 +80,21 @@
 	c.idle, c.stopped = nil, true
 }
 
-// openNoMore has it use only the connections that it has.
+// stopDialing makes the client open no new connections until start. Open ones are still used.
 func (c *client) stopDialing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dialingStopped = true
 }
 
+// start makes the client send requests and open connections again.
 func (c *client) start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopped, c.dialingStopped = false, false
 }
 
-// ask asks for one exchange and enters what became of it.
+// send sends one request and records the outcome of its exchange.
 func (c *client) send(a scenario.Arrival) {
 	c.mu.Lock()
 	stopped := c.stopped
@@ -123,7 +127,7 @@
 		reused := conn.reused
 		conn.SetDeadline(time.Now().Add(time.Duration(product.AbandonTime+answerTimeoutMs) * time.Millisecond))
 		leaveAfter, leaveMode := c.rig.earlyLeave(a)
-		if leaveMode&1 == 1 && leaveAfter > 0 { // more behind it: a part of another request
+		if leaveMode&1 == 1 && leaveAfter > 0 { // pipeline the start of another request behind it
 			text += "GET /" + product.Name + " HTTP/1.1\r\nHost: h\r\n"
 		}
 		var response *http.Response
@@ -141,26 +145,27 @@
 				c.rig.book.RecordClientLeft(exchange, sent, c.rig.now())
 				return
 			}
-			if leaveAfter > 0 { // an answer came first; what stands behind the request makes the connection useless
+			if leaveAfter > 0 { // the answer came first; the connection is not reused, since part of another request may follow
 				conn.SetReadDeadline(time.Now().Add(answerTimeoutMs * time.Millisecond))
 				defer conn.Close()
 			}
 			if err == nil {
 				if response, err = http.ReadResponse(conn.reader, nil); err != nil {
-					err = fmt.Errorf("an answer broken off: %w", err)
+					err = fmt.Errorf("answer head truncated or malformed: %w", err)
 					reused = false
 				}
 			}
 		}
 		if err != nil {
 			conn.Close()
-			// A kept connection that the sidecar closed as this was written: it is sent once more, on a new one.
+			// The sidecar may have closed the idle connection while the request was written: send it once more, on a new
+			// connection.
 			if reused && try == 0 && !isTimeout(err) && !(sent > 0 && c.rig.killedSince(c.sidecar, sent)) {
 				sent = 0
 				continue
 			}
 			if !reused && try == 0 && isClosedUnanswered(err) && c.rig.isFlooded(c.sidecar) {
-				sent = 0 // shut unread, for want of a descriptor
+				sent = 0 // the sidecar closed the new connection without reading, for lack of file descriptors
 			}
 			c.rig.book.RecordAnswer(exchange, 0, err.Error(), sent, c.rig.now())
 			return
@@ -168,9 +173,9 @@
 		body, err := io.ReadAll(response.Body)
 		problem := ""
 		if err != nil {
-			problem = "broken off: " + err.Error()
+			problem = "answer body truncated: " + err.Error()
 		} else if response.StatusCode == http.StatusOK && string(body) != answerBody(a.ID) {
-			problem = fmt.Sprintf("not made for it: %.40q", body)
+			problem = fmt.Sprintf("unexpected body: %.40q", body)
 		}
 		c.rig.book.RecordAnswer(exchange, response.StatusCode, problem, sent, c.rig.now())
 		if err != nil || response.Close || leaveAfter > 0 {
@@ -182,8 +187,10 @@
 	}
 }
 
-// patience is how long a client waits that will leave early, and in which way it does; 0 for who waits its time. Every other
-// one of a sidecar's clients leaves while the fault lasts.
+// earlyLeave returns after which wait a client leaves without its answer, and how; 0 if it waits as long as any client
+// does. While the fault "leave" lasts, the clients of about every second request to a sidecar leave, drawn from the seed
+// and the exchange's ID. Bit 0 of the mode: the client sends the start of another request behind its own; bit 1: it
+// leaves with a reset.
 func (r *Rig) earlyLeave(a scenario.Arrival) (wait time.Duration, mode uint64) {
 	draw := r.scenario.SeedOf("leaves " + a.ID)
 	maxWaitMs := 0.0
@@ -200,12 +207,13 @@
 	return time.Duration((1 + share*maxWaitMs) * float64(time.Millisecond)), draw >> 1 & 3
 }
 
+// hasLeavingClients reports whether fault n, of kind "leave", applies to a sidecar's clients.
 func (r *Rig) hasLeavingClients(n, sidecar int) bool {
 	sidecars, _ := r.scenario.FaultTargets(n)
 	return slices.ContainsFunc(sidecars, func(p scenario.Node) bool { return p.Number == sidecar })
 }
 
-// isShut tells that a connection was ended before a byte of an answer came.
+// isClosedUnanswered reports whether an error says that the connection was closed before the first byte of an answer.
 func isClosedUnanswered(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/rig/crowd.go
+++ b/internal/rig/crowd.go
@@ -1,5 +1,6 @@
-// Crowd: idle connections that take a sidecar's descriptors. This file owns them; they ask for nothing, and whoever is sent away
-// comes again.
+// Connection floods: many mostly idle connections that use up a sidecar's file descriptors. They send no requests for
+// endpoints. A connection that the sidecar closes is opened again after a pause.
+
 package rig
 
 import (
@@ -12,32 +13,34 @@
 )
 
 const (
-	floodRetryPause   = 20 * time.Millisecond // before one that was sent away comes again
-	floodDripInterval = 40 * time.Millisecond // between two bytes of one that never ends its head
+	floodRetryPause   = 20 * time.Millisecond // before a connection that was closed is opened again
+	floodDripInterval = 40 * time.Millisecond // between two bytes of a request head that never ends
 )
 
-// halfHead is what is written before a rest.
+// partialRequest is the part of a request head after which a connection stays idle or goes on byte by byte.
 const partialRequest = "GET /x HTTP/1.1\r\nHos"
 
-// crowdKind is what the clients of a crowd do.
+// floodKind is what the connections of a flood send. The values are the names of the faults in a scenario.
 type floodKind string
 
 const (
-	floodMixed   floodKind = "crowd"       // every third writes half a head
-	floodPartial floodKind = "crowd-heads" // each does
-	floodDrip    floodKind = "crowd-drip"  // each goes on with its head, byte by byte, and never ends it
-	floodIdle    floodKind = "crowd-kept"  // each asks whether the sidecar is up, has its answer, and rests
+	floodMixed   floodKind = "crowd"       // every third connection sends a partial request head
+	floodPartial floodKind = "crowd-heads" // every connection sends a partial request head
+	floodDrip    floodKind = "crowd-drip"  // every connection sends a request head byte by byte and never ends it
+	floodIdle    floodKind = "crowd-kept"  // every connection asks whether the sidecar is up, gets its answer and stays idle
 )
 
-// keptPause is the time before one that had its answer and was sent away asks again: what it asks is no load.
+// floodIdleRetryPause is the pause before a floodIdle connection that was closed is opened again. It is longer than
+// floodRetryPause, so that the requests themselves are no load.
 const floodIdleRetryPause = 500 * time.Millisecond
 
+// completeRequest is the request of a floodIdle connection.
 const completeRequest = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// isCrowd tells whether a fault is a crowd.
+// isFlood reports whether a fault is a connection flood.
 func isFlood(what string) bool { return strings.HasPrefix(what, string(floodMixed)) }
 
-// crowd keeps so many connections to a sidecar until a time of the rehearsal.
+// flood keeps count connections open to a sidecar until a time of the run, in ms.
 func (r *Rig) flood(ctx context.Context, kind floodKind, sidecar, count int, until float64) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(max(until-r.now(), 0)*float64(time.Millisecond)))
 	defer cancel()
@@ -60,7 +63,7 @@
 	all.Wait()
 }
 
-// rest opens a connection and holds it until either side ends it.
+// holdConnection opens a connection, sends what its kind of flood sends, and holds it until either side closes it.
 func (r *Rig) holdConnection(ctx context.Context, sidecar int, kind floodKind, sendPartial bool) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", r.clients[sidecar].addr)
 	if err != nil {
@@ -80,7 +83,7 @@
 	io.Copy(io.Discard, conn)
 }
 
-// drip writes byte by byte until the connection ends.
+// dripBytes writes byte by byte until the connection is closed.
 func dripBytes(conn net.Conn) {
 	for {
 		time.Sleep(floodDripInterval)
@@ -90,7 +93,7 @@
 	}
 }
 
-// crowded tells whether a crowd takes a sidecar's descriptors just now, or did a moment ago.
+// isFlooded reports whether a flood uses up a sidecar's descriptors now, or did until up to faultAftermathMs ago.
 func (r *Rig) isFlooded(sidecar int) bool {
 	now := r.now()
 	for n := range r.scenario.Faults {
--- a/internal/rig/crowd_test.go
+++ b/internal/rig/crowd_test.go
@@ -13,12 +13,13 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-// soundShare is the share of requests that a sidecar has to serve in time while its endpoints and cores are sound.
+// minServedShare is the share of requests that a sidecar has to serve in time while its endpoints and cores are healthy.
 const minServedShare = 0.95
 
-// plainProgram is the program without the race detector. With it a crowd of 1,024 costs the sidecar 4.4 s of processor time in the 4 s that
-// it lasts, in place of 1.3 (traced by its usage), so that its core is not sound and the share is not owed; the rules are judged with the
-// detector in the soak.
+// buildProgramWithoutRace builds the program without the race detector. With it a flood of 1,024 connections costs the
+// sidecar 4.4 s of processor time in the 4 s that the flood lasts, instead of 1.3 s (measured by its usage). Its core is
+// then overloaded, so that it does not owe the share of served requests. The soak checks the rules with the race
+// detector.
 func buildProgramWithoutRace(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "lynxjunction")
 	out, err := exec.Command("go", "build", "-o", path, "github.com/lynxjunction/lynxjunction/cmd/lynxjunction").CombinedOutput()
@@ -26,7 +27,8 @@
 	return path
 }
 
-// playCrowd plays a rehearsal with a crowd, keeps it to every rule, and to the share of requests that is owed while all else is sound.
+// runFloodScenario runs a scenario with a connection flood. It requires that no rule is broken and that the sidecars
+// serve the share of requests that they owe while all else is healthy.
 func runFloodScenario(t *testing.T, program string, change func(s *scenario.Scenario)) {
 	s, err := scenario.Read("testdata/crowd.toml")
 	require.NoError(t, err)
@@ -46,30 +48,31 @@
 	assert.GreaterOrEqual(t, float64(service.InTime), minServedShare*float64(service.Requests))
 }
 
-// Idle clients take a sidecar's descriptors, every third with half a head, and come again when they are sent away. Nearly every request
-// that reached it was refused, though its cores and endpoints were idle: each attempt found no descriptor, was booked as a failed
-// connection of its endpoint, spent the budget of attempts, and had six sound endpoints marked. Measured before the repair, crowds of
-// 400 and 512 on 256 descriptors: some 430 of the 430 requests that reached crowded sidecars refused; their log at the end:
-// legs_no_connection 368, legs_not_sent 0, given_up_legs 317, "e0 doubtful true: 3 of 11 bad". The sidecar beside them, which asked
-// the same endpoints, refused none.
+// Guards against refused requests while idle connections use up a sidecar's file descriptors. Every third connection
+// sends a partial request head, and connections that are closed come back. Each leg then found no descriptor, was counted
+// as a failed connection of its endpoint, spent the budget of legs, and had six healthy endpoints suspected; nearly every
+// request was refused, though cores and endpoints were idle. Measured before the fix, with 400 and 512 connections on 256
+// descriptors: about 430 of the 430 requests that reached flooded sidecars were refused; their log at the end:
+// legs_no_connection 368, legs_not_sent 0, given_up_legs 317, "e0 doubtful true: 3 of 11 bad". The sidecar beside them,
+// which used the same endpoints, refused none.
 func TestRequestsAreServedBesideACrowd(t *testing.T) {
 	program := buildProgramWithoutRace(t)
 	for _, size := range []float64{128, 400, 1024} {
-		t.Run(fmt.Sprint(size), func(t *testing.T) { // one after the other: its verdict is one of time
+		t.Run(fmt.Sprint(size), func(t *testing.T) { // not in parallel, since it checks times
 			runFloodScenario(t, program, func(s *scenario.Scenario) { s.Faults[0].Size = size })
 		})
 	}
 }
 
-// The same where each of a crowd writes half a head, or goes on with it byte by byte and never ends it, or has had an answer and rests; and
-// where the sidecar is handed over in the middle of it, so that two processes share its descriptors.
+// The same where every connection sends a partial request head, or sends a head byte by byte without end, or stays idle
+// after an answer; and where the sidecar is upgraded during the flood, so that two processes share its descriptors.
 func TestRequestsAreServedDuringOtherConnectionFloods(t *testing.T) {
 	program := buildProgramWithoutRace(t)
 	for name, change := range map[string]func(s *scenario.Scenario){
-		"half heads": func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(floodPartial), 600 },
-		"drip":       func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(floodDrip), 600 },
-		"kept":       func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(floodIdle), 600 },
-		"hand-over": func(s *scenario.Scenario) {
+		"partial heads": func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(floodPartial), 600 },
+		"drip":          func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(floodDrip), 600 },
+		"idle":          func(s *scenario.Scenario) { s.Faults[0].Kind, s.Faults[0].Size = string(floodIdle), 600 },
+		"upgrade": func(s *scenario.Scenario) {
 			s.Faults = append(s.Faults, scenario.Fault{Kind: "upgrade", At: 3, Targets: []string{"s0"}})
 		},
 	} {
--- a/internal/rig/end_test.go
+++ b/internal/rig/end_test.go
@@ -15,7 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// outOfDescriptors is a listener whose one accept fails, when it is told to, as it does where no descriptor is left.
+// failingListener is a listener whose Accept fails as if the process were out of file descriptors, when something is
+// received from fail.
 type failingListener struct {
 	net.Listener
 	fail chan bool
@@ -26,7 +27,7 @@
 	return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 }
 
-// heard lets its owner know of each complaint before the rig hears it.
+// notifyingWriter signals each write before it passes the text on.
 type notifyingWriter struct {
 	io.Writer
 	writes chan bool
@@ -37,8 +38,8 @@
 	return h.Writer.Write(text)
 }
 
-// A server tells that descriptors ran out while the rig is being taken down, and the rig waits for that server: neither may wait
-// for the other. The rig is held at the end of a process of its own until the complaint is on its way.
+// Guards against a deadlock when a server reports that descriptors ran out while the rig is torn down and waits for that
+// server. The test holds up the tear-down at the end of a process until the report is under way.
 func TestServerErrorDuringTearDownDoesNotDeadlock(t *testing.T) {
 	_, stop := context.WithCancelCause(t.Context())
 	r := &Rig{cancel: stop}
@@ -57,7 +58,7 @@
 	r.processes = []*process{p}
 	tornDown := make(chan bool)
 	go func() { r.tearDown(); close(tornDown) }()
-	c.Wait() // end has killed it, and waits to be told of that
+	c.Wait() // tearDown has killed it and waits for p.ended
 	listener.fail <- true
 	<-written
 	close(p.ended)
@@ -65,7 +66,7 @@
 	select {
 	case <-tornDown:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the rig waits for its server, and that for the rig")
+		t.Fatal("deadlock: the rig's tear-down did not end within 20 s")
 	}
 	assert.ErrorIs(t, <-served, http.ErrServerClosed)
 	assert.ErrorContains(t, r.firstErr, "descriptors ran out")
--- a/internal/rig/endpoint.go
+++ b/internal/rig/endpoint.go
@@ -1,5 +1,6 @@
-// Endpoint: the model of internal/emulator behind the platform's HTTP/1.1. This file owns the connections that an endpoint has
-// and the account of each leg that comes. What an exchange costs is known from its client's account, not from the request.
+// Endpoint stand-in: serves HTTP/1.1 from the endpoint model of internal/emulator, limits its connections and records
+// each leg that arrives. The work of an exchange is taken from its client's record, not from the request.
+
 package rig
 
 import (
@@ -18,26 +19,27 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-// endpoint is one of the platform's.
+// endpoint is the stand-in of one endpoint.
 type endpoint struct {
 	scenario.Node
-	number int // in the book, and of its address
+	number int // in the records, and of its address within the row
 	addr   string
 	rig    *Rig
 
 	mu                sync.Mutex
 	model             *emulator.Endpoint
-	waiting           map[uint64]chan bool
-	lastJob           uint64
-	timer             *time.Timer
-	recordedCollapses int
+	waiting           map[uint64]chan bool // by job: gets whether it succeeded; closed if the endpoint goes down
+	lastJob           uint64               // number of the last job
+	timer             *time.Timer          // for the model's next change
+	recordedCollapses int                  // how many of the model's collapses are recorded
 
 	httpServer *http.Server
 	listener   net.Listener
-	conns      map[net.Conn]bool // true once an exchange has come
-	down       bool
+	conns      map[net.Conn]bool // true once a leg has arrived on it
+	down       bool              // crashed and not restarted
 }
 
+// newEndpoint starts an endpoint. A cold one starts its warm-up now; any other has been warm for long.
 func (r *Rig) newEndpoint(p scenario.Node, name string, cold bool) (*endpoint, error) {
 	now := r.now()
 	p.Name = name
@@ -55,8 +57,10 @@
 	return e, e.open()
 }
 
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
+// open listens at the endpoint's address. It retries for about 1 s while the address is still in use.
 func (e *endpoint) open() (err error) {
 	for range 200 {
 		if e.listener, err = net.Listen("tcp", e.addr); err == nil {
@@ -68,7 +72,7 @@
 	return e.rig.explainLimit(err)
 }
 
-// follow keeps the connections that are open, within the bound.
+// trackConn keeps the set of open connections, and resets new ones beyond the endpoint's limit of connections.
 func (e *endpoint) trackConn(c net.Conn, s http.ConnState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -85,7 +89,7 @@
 	}
 }
 
-// cut ends a connection with RST.
+// resetConn closes a connection with RST.
 func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -93,7 +97,7 @@
 	c.Close()
 }
 
-// crash ends the process: its connections are reset, new ones refused.
+// crash takes the endpoint down: open connections are reset and new ones refused.
 func (e *endpoint) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,6 +108,7 @@
 	e.listener.Close()
 }
 
+// dropConns resets all connections and ends the legs that wait. The lock is held.
 func (e *endpoint) dropConns() {
 	for c := range e.conns {
 		resetConn(c)
@@ -114,7 +119,7 @@
 	}
 }
 
-// comeBack starts it anew, cold.
+// restart starts a crashed endpoint again, cold.
 func (e *endpoint) restart() error {
 	e.mu.Lock()
 	e.down = false
@@ -124,7 +129,7 @@
 	return e.open()
 }
 
-// alter changes the model under its lock.
+// update advances the model to the present and changes it, under the endpoint's lock.
 func (e *endpoint) update(change func(m *emulator.Endpoint)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -133,6 +138,7 @@
 	e.armTimer()
 }
 
+// jobDone passes the end of a job on to the leg that waits for it. The lock is held.
 func (e *endpoint) jobDone(d emulator.Done) {
 	if w := e.waiting[d.ID]; w != nil {
 		delete(e.waiting, d.ID)
@@ -140,7 +146,7 @@
 	}
 }
 
-// arm sets the timer for the next thing that happens by itself.
+// armTimer sets the timer to the model's next change: the end of a job or a change of its speed.
 func (e *endpoint) armTimer() {
 	next := e.model.Next()
 	if math.IsInf(next, 1) {
@@ -150,8 +156,10 @@
 	e.timer.Reset(time.Duration(max(next-e.rig.now(), 0) * float64(time.Millisecond)))
 }
 
+// timerFired advances the model to the present.
 func (e *endpoint) timerFired() { e.update(func(*emulator.Endpoint) {}) }
 
+// ServeHTTP takes a leg: it records the leg, runs it in the model and answers when the model has finished it.
 func (e *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	at := e.rig.now()
 	if r.URL.Path == "/alive" {
@@ -207,7 +215,7 @@
 	select {
 	case ok, running := <-ready:
 		switch {
-		case !running: // closed: the process is gone, and so is the connection
+		case !running: // closed by dropConns: the endpoint went down and its connections were reset
 			e.rig.book.EndLeg(leg, "cut", e.rig.now())
 		case ok:
 			e.rig.book.EndLeg(leg, "satisfied", e.rig.now())
@@ -227,11 +235,15 @@
 	}
 }
 
+// close stops the endpoint at the end of the run.
 func (e *endpoint) close() {
 	e.timer.Stop()
 	e.httpServer.Close()
 }
 
-// keyOf and answerTo are what an exchange carries and what comes of it, so that neither can be another's.
+// idempotencyKey returns the key that all legs of an exchange must carry. It names the exchange, so that another's key is
+// detected.
 func idempotencyKey(id string) string { return "key-" + id }
-func answerBody(id string) string     { return "made for " + id + "\n" }
+
+// answerBody returns the body of an exchange's answer. It names the exchange, so that another's answer is detected.
+func answerBody(id string) string { return "made for " + id + "\n" }
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -1,5 +1,6 @@
-// Faults: what is done to endpoints, sidecars, links and the list, when the scenario says. This file owns how each is done and
-// which answers are not owed for it.
+// Fault injection: applies the scenario's faults to endpoints, sidecars, links and discovery at their times, and records
+// which answers the sidecars do not owe because of them.
+
 package rig
 
 import (
@@ -17,7 +18,7 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-// sleep waits until a time of the rehearsal; false at its end.
+// sleepUntil waits until a time of the run, in ms. It returns false if the run ended before.
 func (r *Rig) sleepUntil(ctx context.Context, at float64) bool {
 	select {
 	case <-ctx.Done():
@@ -27,7 +28,8 @@
 	}
 }
 
-// play does one fault, one after the other where it is done to several with a step, and ends it.
+// runFault applies a fault at its time and ends it when it is over. A fault with a step is applied to its targets one
+// after another, a step apart.
 func (r *Rig) runFault(ctx context.Context, n int) {
 	f := &r.scenario.Faults[n]
 	places, targets := r.scenario.FaultTargets(n)
@@ -75,6 +77,7 @@
 	}
 }
 
+// shortenNames joins names for an event's text; of more than six it gives the first five and the number of the others.
 func shortenNames(names []string) string {
 	if len(names) > 6 {
 		return fmt.Sprintf("%s and %d more", strings.Join(names[:5], " "), len(names)-5)
@@ -82,7 +85,8 @@
 	return strings.Join(names, " ")
 }
 
-// one does a fault to one of those it is done to, and ends it.
+// applyFault applies a fault to one of its targets and ends it when it is over. With a step, the target's time begins
+// when the fault is applied to it.
 func (r *Rig) applyFault(ctx context.Context, n int, f *scenario.Fault, p scenario.Node, targets []scenario.Node) {
 	until := (f.End())*1000 + math.Max(0, r.now()-f.At*1000)
 	if f.Stagger == 0 {
@@ -123,7 +127,9 @@
 	}
 }
 
-// drain takes an endpoint off the list; a replacement starts at once, cold.
+// drain lists an endpoint as terminating, and as terminated after drainPeriod. For the fault "replace" a cold replacement
+// starts at once. The endpoint itself keeps answering until removedServingMs after it was listed as terminated, then it
+// crashes.
 func (r *Rig) drain(ctx context.Context, f *scenario.Fault, p scenario.Node) {
 	r.mu.Lock()
 	e := r.current[p.Name]
@@ -145,7 +151,7 @@
 	}
 }
 
-// byHand takes endpoints out at one sidecar's console, and puts them back.
+// operatorDrain drains endpoints by commands to one sidecar's console, and undrains them when the fault is over.
 func (r *Rig) operatorDrain(ctx context.Context, p scenario.Node, targets []scenario.Node, until float64) {
 	for _, command := range []string{"maint", "ready"} {
 		for _, t := range targets {
@@ -160,12 +166,12 @@
 			}
 			console := process.console
 			if l := r.links.consoles[p.Number]; l != nil {
-				console = l.Addr() // of the first process
+				console = l.Addr() // leads to the console of the first process
 			}
 			if err := callConsole(console, "/endpoints/"+e.Name+"/"+command, 5*time.Second); err != nil {
-				r.OnEvent(r.now(), fmt.Sprintf("no yes from s%d to %s of %s: %v", p.Number, command, e.Name, err))
+				r.OnEvent(r.now(), fmt.Sprintf("s%d did not accept %s of %s: %v", p.Number, command, e.Name, err))
 			} else if command == "maint" {
-				r.book.RecordDrain(p.Number, e.number, r.now(), "by hand")
+				r.book.RecordDrain(p.Number, e.number, r.now(), "by operator")
 			}
 		}
 		if command == "maint" {
@@ -174,7 +180,7 @@
 	}
 }
 
-// onSidecar does something to a process.
+// applySidecarFault applies a fault to one sidecar: to its process, its clients or its configuration.
 func (r *Rig) applySidecarFault(ctx context.Context, f *scenario.Fault, s int, until float64) {
 	p := r.sidecar(s)
 	if p == nil {
@@ -182,7 +188,7 @@
 	}
 	recoveryMs := float64((r.longestAbandon() + killDelay).Milliseconds())
 	switch f.Kind {
-	case "leave": // done by the clients, which look at the scenario
+	case "leave": // carried out by the clients, which read the scenario (earlyLeave)
 		r.sleepUntil(ctx, until)
 	case string(floodMixed), string(floodPartial), string(floodDrip), string(floodIdle):
 		r.flood(ctx, floodKind(f.Kind), s, int(f.Size), until)
@@ -195,7 +201,7 @@
 			return
 		}
 		p.Process.Signal(syscall.SIGHUP)
-		r.listServer.scheduleNotified(s, fullList, notifiedAfterMoved, "a new configuration")
+		r.listServer.scheduleNotified(s, fullList, notifiedAfterMoved, "new configuration")
 	case "stop":
 		p.Process.Signal(syscall.SIGSTOP)
 		r.book.Excuse(s, r.now(), until+recoveryMs, "stopped")
@@ -241,7 +247,7 @@
 	}
 }
 
-// again starts a sidecar that is down.
+// restartSidecar marks a sidecar as down and starts it again at the given time.
 func (r *Rig) restartSidecar(ctx context.Context, s int, at float64) {
 	r.mu.Lock()
 	r.sidecars[s] = nil
@@ -254,10 +260,11 @@
 	}
 }
 
-// upgrade starts a process beside the one that serves.
+// upgrade starts a process beside the one that serves; the new one takes over from it.
 func (r *Rig) upgrade(s int, program string, row int) error { return r.startSidecar(s, program, row) }
 
-// otherConsole is the row of the console that a sidecar's process does not have.
+// freeConsoleRow returns the row of console addresses that a sidecar's current process does not use, for the next
+// process.
 func (r *Rig) freeConsoleRow(s int, p *process) int {
 	if p.console == r.addrs.addr(rowSecondConsole, s) {
 		return rowConsole
@@ -265,7 +272,7 @@
 	return rowSecondConsole
 }
 
-// upgradeFails starts a process beside the one that serves, and kills it after a while: the old one goes on.
+// failUpgrade starts a process beside the one that serves and kills it at the given time. The old process goes on.
 func (r *Rig) failUpgrade(ctx context.Context, s int, old *process, until float64) error {
 	dir := filepath.Join(r.Dir, fmt.Sprint("s", s))
 	next, err := r.startProcess(r.Program, fmt.Sprint("s", s), filepath.Join(dir, "start.json"), dir, r.addrs.addr(r.freeConsoleRow(s, old), s))
@@ -286,8 +293,9 @@
 	return nil
 }
 
-// killedSince tells whether one of a sidecar's two processes was killed at a time or later: what was sent to it may have been read, and
-// is not for its client to send once more as if a resting connection had been closed.
+// killedSince reports whether one of a sidecar's two processes was killed at the given time or later. The process may
+// have read what was sent to it, so the client must not send the request again as it does when an idle connection was
+// closed.
 func (r *Rig) killedSince(sidecar int, at float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -295,7 +303,7 @@
 	return found && killed >= at
 }
 
-// onLink puts a fault on the links of one sidecar.
+// applyLinkFault applies a fault to the links of one sidecar and ends it when it is over.
 func (r *Rig) applyLinkFault(ctx context.Context, n int, f *scenario.Fault, p scenario.Node, until float64) {
 	fault := links.Fault{Direction: map[string]links.Direction{"": links.Both, "there": links.ToServer, "back": links.ToClient}[f.Direction]}
 	ms := time.Duration(f.Size * float64(time.Millisecond))
@@ -337,7 +345,7 @@
 	}
 }
 
-// linksOf are the links that a fault is on, of one sidecar. Those upstream are its class's.
+// linksOf returns the links of one sidecar that a fault applies to. Links to endpoints are those of the sidecar's class.
 func (r *Rig) linksOf(n int, f *scenario.Fault, sidecar int) (chosen []*links.Link) {
 	switch f.Link {
 	case "list":
@@ -357,7 +365,7 @@
 	return chosen
 }
 
-// delay makes changes of the list late for a fault; 0 ends it.
+// setDelay delays changes of the list on behalf of fault n; 0 ends the delay.
 func (l *listServer) setDelay(n int, by time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/rig/list.go
+++ b/internal/rig/list.go
@@ -1,5 +1,8 @@
-// List: the platform's list service. This file owns what is listed, whom it told what, and how late. Each sidecar asks at an
-// address of its own, which is how the service knows who asks; addresses of endpoints differ by sidecar, since links do.
+// Discovery stand-in: the HTTP service that serves the list of endpoints. It keeps the list, applies faults of discovery
+// to calls, and records when each sidecar counts as notified of a change. Each sidecar has an address of its own at which
+// it calls discovery, which identifies the caller. The listed addresses of endpoints differ by sidecar, since sidecars
+// reach endpoints through different links.
+
 package rig
 
 import (
@@ -14,7 +17,7 @@
 	"github.com/lynxjunction/lynxjunction/internal/callqueue"
 )
 
-// listed is one entry, in the protocol's form.
+// listEntry is an endpoint in the list, in the form of discovery's protocol.
 type listEntry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -23,22 +26,23 @@
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight"`
 	Started float64 `json:"started_ms"`
-	number  int     // of the endpoint
-	version int     // of its last change
+	number  int     // the endpoint's number in the records
+	version int     // the list's version at the entry's last change
 }
 
-// telling is one line of a watch, and the start file's list.
+// listUpdate is one line of an answer of discovery: the full list or what changed. The list in a sidecar's start file has
+// the same form.
 type listUpdate struct {
 	Version int         `json:"version"`
 	Full    bool        `json:"full"`
 	Servers []listEntry `json:"servers"`
-	removed []listEntry // out of service, and told by a whole list that does not name them
+	removed []listEntry // entries out of service, which a full list reports by leaving them out
 }
 
-// wholeList stands in place of a version for a call that asks for all there is.
+// fullList takes the place of a version in a call for the full list.
 const fullList = -1
 
-// leaveOut has a whole list name only what is in service.
+// keepInService moves the entries that are not in service from Servers to removed.
 func (t *listUpdate) keepInService() {
 	t.Servers = slices.DeleteFunc(t.Servers, func(e listEntry) bool {
 		if e.State != "in_service" {
@@ -48,36 +52,38 @@
 	})
 }
 
+// listServer is the stand-in of discovery.
 type listServer struct {
 	rig            *Rig
 	httpServer     *http.Server
 	mu             sync.Mutex
 	version        int
 	entries        []listEntry
-	changed        chan struct{}
-	outagesInForce int // faults that take it down
-	outageCount    int // faults that have taken it down so far
-	delays         map[int]time.Duration
-	conns          map[net.Conn]struct{}
-	moved          map[int]bool     // sidecars whose configuration names the other address
-	faultyCalls    map[int]int      // calls of a sidecar that are still to be spoilt
-	callQueue      *callqueue.Queue // of calls while a fault leaves the service little capacity; nil for none
+	changed        chan struct{}         // closed with each change of the list
+	outagesInForce int                   // number of faults that take it down now
+	outageCount    int                   // number of faults that have taken it down so far
+	delays         map[int]time.Duration // by fault number: delay of changes of the list
+	conns          map[net.Conn]struct{} // open connections
+	moved          map[int]bool          // by sidecar: its configuration names discovery's second address
+	faultyCalls    map[int]int           // by sidecar: number of its next calls that get a faulty answer
+	callQueue      *callqueue.Queue      // queue of calls while a fault limits the capacity of discovery; nil for none
 
-	watchFaults map[int]watchFault // by the fault's number
-	watches     map[int]int        // calls of a sidecar that got a list
-	nextEnd     chan struct{}      // closed when the watches end that miss a change; nil while none is planned
+	watchFaults map[int]watchFault // by fault number
+	watches     map[int]int        // by sidecar: number of calls that got a list
+	nextEnd     chan struct{}      // closed when the watches that missed a change are to end; nil while no end is scheduled
 }
 
-// queuePatience is how long a call waits at a busy service, where that refuses or drops calls that would wait longer.
+// maxQueueWait is the longest wait of a call in the queue of an overloaded discovery, under the policies that refuse or
+// drop calls that would wait longer.
 const maxQueueWait = 3 * time.Second
 
-// Spans after which a change counts as notified, whether or not it was heard: after discovery had it and could be reached, and
-// after a new configuration.
+// Times after which a sidecar counts as notified of a change, whether or not it received it.
 const (
-	notifiedAfterReached = 6 * time.Second
-	notifiedAfterMoved   = 4 * time.Second
+	notifiedAfterReached = 6 * time.Second // since discovery had the change and was reachable
+	notifiedAfterMoved   = 4 * time.Second // since the sidecar got a configuration with another address of discovery
 )
 
+// newListServer creates the stand-in of discovery, with an empty list.
 func (r *Rig) newListServer() *listServer {
 	l := &listServer{rig: r, changed: make(chan struct{}), delays: map[int]time.Duration{}, conns: map[net.Conn]struct{}{},
 		moved: map[int]bool{}, faultyCalls: map[int]int{}, watchFaults: map[int]watchFault{}, watches: map[int]int{}}
@@ -94,6 +100,7 @@
 	return l
 }
 
+// open listens at both of a sidecar's addresses of discovery.
 func (l *listServer) open(sidecar int) error {
 	for _, row := range []int{rowList, rowListMoved} {
 		ln, err := net.Listen("tcp", l.rig.addrs.addr(row, sidecar))
@@ -105,21 +112,22 @@
 	return nil
 }
 
-// move has a sidecar's next configuration name the other address.
+// switchAddr makes a sidecar's next configuration name the other one of its two addresses of discovery.
 func (l *listServer) switchAddr(sidecar int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.moved[sidecar] = !l.moved[sidecar]
 }
 
+// usesMovedAddr reports whether a sidecar's configuration names the second address.
 func (l *listServer) usesMovedAddr(sidecar int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.moved[sidecar]
 }
 
-// busy leaves the service so much work for one call of each sidecar together; 0 ends it. What it does with calls that would wait
-// long is drawn by the seed.
+// setBusy limits the capacity of discovery, so that one call of each sidecar takes it roundTime altogether; 0 ends the
+// limit. The policy for calls that would wait too long is drawn from the scenario's seed.
 func (l *listServer) setBusy(roundTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,7 +140,7 @@
 	}
 }
 
-// awaitTurn waits in a busy service's queue; an error says that the call gets no list.
+// waitInQueue waits until an overloaded discovery has done the work of a call. After an error the call gets no list.
 func (l *listServer) waitInQueue(r *http.Request, sidecar int) error {
 	l.mu.Lock()
 	queue := l.callQueue
@@ -143,7 +151,7 @@
 	return queue.Take(r.Context(), strconv.Itoa(sidecar))
 }
 
-// spoilNext spoils the next calls of each sidecar.
+// faultNextCalls makes the next calls of each sidecar get faulty answers.
 func (l *listServer) faultNextCalls(calls int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -152,8 +160,9 @@
 	}
 }
 
-// owe enters what went out of service after a version, and is out by now, as told to a sidecar after a while, if the service can be
-// reached until then.
+// scheduleNotified schedules the time at which a sidecar counts as notified of the endpoints that left service after the
+// given version and are out of service now. Nothing is recorded if, until that time, there was an outage of discovery or
+// a fault of the sidecar's link to it, or if the sidecar is down then.
 func (l *listServer) scheduleNotified(sidecar, version int, after time.Duration, why string) {
 	l.mu.Lock()
 	outageCount, isDown := l.outageCount, l.outagesInForce > 0
@@ -165,7 +174,7 @@
 	}
 	l.mu.Unlock()
 	if isDown || len(removed) == 0 {
-		return // the end of the outage begins the time anew
+		return // the end of the outage schedules it anew
 	}
 	from := l.rig.now()
 	at := from + float64(after.Milliseconds())
@@ -182,13 +191,15 @@
 	})
 }
 
+// scheduleNotifiedAll calls scheduleNotified for all sidecars and all endpoints out of service.
 func (l *listServer) scheduleNotifiedAll(after time.Duration, why string) {
 	for n := range l.rig.scenario.Fleet.Sidecars {
 		l.scheduleNotified(n, fullList, after, why)
 	}
 }
 
-// listLinkFaulty tells whether a fault lay on a sidecar's link to the list service within a time.
+// listLinkFaulty reports whether a sidecar's link to discovery had a fault, or the aftermath of one, between two times in
+// ms.
 func (r *Rig) listLinkFaulty(sidecar int, from, to float64) bool {
 	for f := range r.scenario.Faults {
 		fault := &r.scenario.Faults[f]
@@ -199,7 +210,7 @@
 	return false
 }
 
-// say enters a change, as late as the faults in force have it.
+// publish enters a change into the list, delayed by the faults in force.
 func (l *listServer) publish(e listEntry) {
 	l.mu.Lock()
 	wait := time.Duration(0)
@@ -223,7 +234,7 @@
 		close(l.changed)
 		l.changed = make(chan struct{})
 		if e.State != "in_service" {
-			go l.scheduleNotifiedAll(notifiedAfterReached, "discovery had it and could be reached")
+			go l.scheduleNotifiedAll(notifiedAfterReached, "discovery listed it and was reachable")
 		}
 	}
 	if wait > 0 {
@@ -233,7 +244,7 @@
 	}
 }
 
-// down takes the service away for a fault, or gives it back.
+// addOutage begins an outage of discovery for a fault (1) or ends it (-1). Outages may overlap.
 func (l *listServer) addOutage(by int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -249,11 +260,13 @@
 		if l.callQueue != nil {
 			l.callQueue.Up()
 		}
-		go l.scheduleNotifiedAll(notifiedAfterReached, "discovery is back")
+		go l.scheduleNotifiedAll(notifiedAfterReached, "discovery is reachable again")
 	}
 }
 
-// spoil answers a call with a fault, if one is due.
+// serveFault gives a call a faulty answer if one is due, and reports whether it did: an error status, a closed
+// connection, no answer, or a truncated list with the connection left open or closed. Which one is drawn from the
+// scenario's seed.
 func (l *listServer) serveFault(sidecar int, w http.ResponseWriter, r *http.Request) bool {
 	l.mu.Lock()
 	due := l.faultyCalls[sidecar]
@@ -285,7 +298,8 @@
 	return true
 }
 
-// since is what a sidecar has not heard of yet; after below 0 is all.
+// changesSince returns the entries that changed after a version, with addresses for the given sidecar, or the full list
+// if after is negative. The full list leaves out terminated endpoints. changed is closed with the next change.
 func (l *listServer) changesSince(sidecar, after int) (t listUpdate, changed chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -304,6 +318,7 @@
 	return t, l.changed
 }
 
+// ServeHTTP answers a call of a sidecar to discovery.
 func (l *listServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	host, port, _ := net.SplitHostPort(r.Context().Value(http.LocalAddrContextKey).(net.Addr).String())
 	sidecar := l.rig.sidecarByListAddr(host, port)
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -1,5 +1,6 @@
-// Process: one process of the program. This file owns its start, its signals, its end and what it used. It ends only what it
-// started, and what it started ends with the rig, however that ends.
+// Sidecar processes: their start, start files, health checks, resource usage and end. The rig ends only processes that it
+// started, and the kernel kills these if the rig itself ends in any way (Pdeathsig).
+
 package rig
 
 import (
@@ -23,7 +24,8 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-// starts run on one thread that never ends: the kernel tells children of the end of the thread that started them.
+// launcher returns a queue of functions that run on one OS thread, which never ends. Processes are started there, since
+// the kernel sends Pdeathsig when the thread that started the process ends, not when the whole parent process does.
 var launcher = sync.OnceValue(func() chan func() {
 	queue := make(chan func())
 	go func() {
@@ -35,28 +37,29 @@
 	return queue
 })
 
-// process is one of them.
+// process is one process of a sidecar. A sidecar has two during an upgrade.
 type process struct {
 	*exec.Cmd
 	name        string
-	logPath     string // file
-	console     string
-	ended       chan struct{}
-	waitErr     error
-	endExpected bool // its end is wanted
+	logPath     string        // file with its output
+	console     string        // address
+	ended       chan struct{} // closed when it has ended
+	waitErr     error         // of Wait; valid when ended is closed
+	endExpected bool          // the rig ends it, so that its end is no failure
 	usage       Usage
 }
 
-// Usage is what a process used.
+// Usage is the resource usage of a process.
 type Usage struct {
 	Name        string
-	PeakKB      int
-	CPUms       float64
-	Descriptors int
-	Exit        string // "" while it runs
+	PeakKB      int     // peak resident memory
+	CPUms       float64 // processor time, user and system
+	Descriptors int     // open at the end of the traffic
+	Exit        string  // exit status or signal; empty while it runs
 }
 
-// run starts the program with a start file and a folder that outlasts it.
+// startProcess starts the program with a start file and a directory that outlives the process, for its log and temporary
+// files.
 func (r *Rig) startProcess(program, name, config, dir, console string) (*process, error) {
 	logPath := filepath.Join(dir, name+".log")
 	logFile, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -85,10 +88,10 @@
 	return p, nil
 }
 
-// get asks one address until it says yes, or the process ends, or time is over.
+// waitForOK requests a URL until the answer is 200, the process ends or the time is over.
 func (p *process) waitForOK(url string, within time.Duration) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-	lastErr := errors.New("not asked")
+	lastErr := errors.New("no request sent")
 	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		response, err := client.Get(url)
 		if err == nil {
@@ -105,16 +108,16 @@
 		default:
 		}
 	}
-	return fmt.Errorf("%s: no yes at %s within %s: %w", p.name, url, within, lastErr)
+	return fmt.Errorf("%s: no status 200 from %s within %s: %w", p.name, url, within, lastErr)
 }
 
-// tail is the end of its log.
+// logTail returns the last 600 bytes of the process's log.
 func (p *process) logTail() string {
 	text, _ := os.ReadFile(p.logPath)
 	return string(bytes.TrimSpace(text[max(0, len(text)-600):]))
 }
 
-// wait waits for its end.
+// endsWithin waits for the end of the process and reports whether it came within the given time.
 func (p *process) endsWithin(within time.Duration) bool {
 	select {
 	case <-p.ended:
@@ -124,7 +127,7 @@
 	}
 }
 
-// measure reads what it uses now.
+// measureUsage records the memory and file descriptors of the running process.
 func (p *process) measureUsage() {
 	dir := fmt.Sprintf("/proc/%d/", p.Process.Pid)
 	p.usage.Name = p.name
@@ -137,7 +140,8 @@
 	}
 }
 
-// trouble is what in its log or its end fails a rehearsal.
+// failure returns an error if the process's log shows a panic, a fatal error or a data race, or if the process ended
+// unexpectedly.
 func (p *process) failure() error {
 	text, _ := os.ReadFile(p.logPath)
 	for _, mark := range []string{"WARNING: DATA RACE", `"msg":"panic`, "panic: ", "fatal error: "} {
@@ -148,14 +152,14 @@
 	select {
 	case <-p.ended:
 		if !p.endExpected {
-			return fmt.Errorf("%s ended by itself (%s): %s", p.name, p.usage.Exit, p.logTail())
+			return fmt.Errorf("%s ended unexpectedly (%s): %s", p.name, p.usage.Exit, p.logTail())
 		}
 	default:
 	}
 	return nil
 }
 
-// config writes a sidecar's start file.
+// writeConfig writes a sidecar's start file, with the present list and address of discovery.
 func (r *Rig) writeConfig(n int, path string) error {
 	zone := r.scenario.SidecarNodes()[n].Zone
 	known, _ := r.listServer.changesSince(n, -1)
@@ -169,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)) // of its own: two new configurations may come at once
+	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)) // unique, as two configurations may be written at once
 	if err != nil {
 		return err
 	}
@@ -177,13 +181,14 @@
 	if err = errors.Join(err, file.Close()); err != nil {
 		return err
 	}
-	return os.Rename(file.Name(), path) // a process may read it just now
+	return os.Rename(file.Name(), path) // atomic, since a process may be reading the old one
 }
 
-// call asks a console something by hand, again as long as it is told to, and returns when it said yes.
+// callConsole sends an operator's command to a console. It repeats the command until the answer is 200 or the time is
+// over.
 func callConsole(console, path string, within time.Duration) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-	lastErr := errors.New("not asked")
+	lastErr := errors.New("no request sent")
 	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		response, err := client.Post("http://"+console+path, "", nil)
 		if err == nil {
@@ -200,7 +205,7 @@
 	return lastErr
 }
 
-// sidecarAt finds whose list address was asked.
+// sidecarByListAddr returns the sidecar that calls discovery at an address, -1 if there is none.
 func (r *Rig) sidecarByListAddr(host, port string) int {
 	for n := range r.scenario.Fleet.Sidecars {
 		if addr := net.JoinHostPort(host, port); r.addrs.addr(rowList, n) == addr || r.addrs.addr(rowListMoved, n) == addr {
--- a/internal/rig/pulse.go
+++ b/internal/rig/pulse.go
@@ -1,6 +1,8 @@
-// Pulse: when the rig itself was late, so that what endpoints and clients booked came late by its own fault. This file owns the two
-// measures of that: a clock that is looked at all the time, and bytes on a connection of the rig's own, which wait to be read as those of
-// endpoints do. In a process with thousands of connections the second is late by far more than the first.
+// Lag of the rig itself: times in which the rig ran late, so that its endpoints and clients recorded events too late.
+// There are two measures: a loop that checks how late it wakes up, and timestamps sent over one of the rig's own
+// connections, which wait to be read as an endpoint's data does. In a process with thousands of connections the second
+// shows far more lag than the first.
+
 package rig
 
 import (
@@ -13,11 +15,11 @@
 )
 
 const (
-	lagProbeInterval = 5 * time.Millisecond
-	lagThreshold     = 4 * lagProbeInterval // from which on the rig was late
+	lagProbeInterval = 5 * time.Millisecond // between two probes of either measure
+	lagThreshold     = 4 * lagProbeInterval // the rig counts as late above it
 )
 
-// pulse notes when the rig itself had no core.
+// monitorScheduling records when the rig was not scheduled for longer than lagThreshold.
 func (r *Rig) monitorScheduling(ctx context.Context) {
 	for last := r.now(); ctx.Err() == nil; last = r.now() {
 		time.Sleep(lagProbeInterval)
@@ -27,7 +29,8 @@
 	}
 }
 
-// netPulse notes when the rig read late what had come on a connection. It ends with ctx.
+// monitorSocketLag records when the rig read data from a connection of its own late. It starts goroutines that end with
+// ctx.
 func (r *Rig) monitorSocketLag(ctx context.Context) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +52,7 @@
 	return nil
 }
 
-// sendPulses writes the time, again and again.
+// sendTimestamps writes the present time every lagProbeInterval.
 func (r *Rig) sendTimestamps(ctx context.Context, to net.Conn) {
 	for ctx.Err() == nil {
 		if binary.Write(to, binary.BigEndian, math.Float64bits(r.now())) != nil {
@@ -59,7 +62,7 @@
 	}
 }
 
-// readPulses notes by how much each was read later than it was written.
+// readTimestamps reads timestamps and records the time from writing to reading as late where it exceeds lagThreshold.
 func (r *Rig) readTimestamps(from net.Conn) {
 	for buffer := make([]byte, 8); ; {
 		if _, err := io.ReadFull(from, buffer); err != nil {
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,6 +1,7 @@
-// Package rig plays a scenario with real processes of the program on loopback: it starts them, asks them through their clients,
-// puts faults between them and ends them. What happened is judged from its own accounts (internal/records), never from the
-// program's counters. It runs nothing but the program that it is given.
+// Package rig runs a scenario against real sidecar processes on loopback. It starts the processes, sends them requests as
+// their clients, acts as their endpoints and as discovery, injects the scenario's faults and terminates the processes.
+// The outcome is judged from the rig's own records of clients and endpoints (internal/records), never from the sidecars'
+// counters. The rig executes no program but the one it is given.
 package rig
 
 import (
@@ -26,21 +27,23 @@
 )
 
 const (
-	startTimeout        = 60 * time.Second       // for a process to say yes, beside hundreds of others
-	answerGraceMs       = 550.0                  // ms past the abandon time in which an answer is no loss
-	answerTimeoutMs     = answerGraceMs + 1500   // ms past the abandon time that a client waits
-	socketSlackMs       = 50.0                   // ms that a limit is longer on sockets
-	killDelay           = 700 * time.Millisecond // past the longest abandon time, from SIGTERM to SIGKILL
-	newConnectionPeriod = 300 * time.Millisecond // after SIGTERM; those that are connected go on until the end
-	drainPeriod         = 5 * time.Second        // from a drain until the endpoint is gone
-	removedServingMs    = 10000.0                // ms that one which is gone still answers: whoever sends to it is to be seen
-	maxConcurrentStarts = 16                     // processes started at once
-	faultAftermathMs    = 1000.0                 // ms after a fault in which what it held up still arrives
+	startTimeout        = 60 * time.Second       // until a process serves; hundreds of others may be starting beside it
+	answerGraceMs       = 550.0                  // after the abandon time; an answer within it does not count as lost
+	answerTimeoutMs     = answerGraceMs + 1500   // after the abandon time, until a client gives up on an answer
+	socketSlackMs       = 50.0                   // added to the drain grace, since the legs pass real sockets
+	killDelay           = 700 * time.Millisecond // from SIGTERM to SIGKILL, in addition to the longest abandon time
+	newConnectionPeriod = 300 * time.Millisecond // after SIGTERM, in which clients still open connections; open ones are used to the end
+	drainPeriod         = 5 * time.Second        // from the start of an endpoint's drain until it is listed as terminated
+	removedServingMs    = 10000.0                // after an endpoint is listed as terminated; it still answers, so that legs sent to it are recorded
+	maxConcurrentStarts = 16                     // processes that are starting at the same time
+	faultAftermathMs    = 1000.0                 // after the end of a fault, in which data that it held up still arrives
 )
 
-// complaints are what net/http says of its listeners. All but one of them are the faults that are being played.
+// serverErrors receives the error log of the rig's HTTP servers. It ends the run when the rig is out of file descriptors
+// and drops every other message, since those are caused by the injected faults.
 type serverErrors struct{ rig *Rig }
 
+// Write takes one message of the error log.
 func (c serverErrors) Write(text []byte) (int, error) {
 	if bytes.Contains(text, []byte(syscall.EMFILE.Error())) {
 		c.rig.fail(c.rig.explainLimit(syscall.EMFILE))
@@ -48,79 +51,82 @@
 	return len(text), nil
 }
 
+// serverLog returns the error log for the rig's HTTP servers.
 func (r *Rig) serverLog() *log.Logger { return log.New(serverErrors{r}, "", 0) }
 
-// Rig is one rehearsal.
+// Rig is one run of a scenario with real processes.
 type Rig struct {
-	Program        string   // the program's file
-	UpgradeProgram string   // the one that an upgrade starts; Program if empty
-	Dir            string   // for start files, logs and the sidecars' folders
-	Env            []string // more, for the program
-	OnEvent        func(at float64, text string)
+	Program        string                        // path of the sidecar's executable
+	UpgradeProgram string                        // path of the executable that upgrades start; Program if empty
+	Dir            string                        // directory for start files, logs and the sidecars' temporary files
+	Env            []string                      // additional environment of the sidecars
+	OnEvent        func(at float64, text string) // called for each event of the run, with its time in ms; may be nil
 
 	scenario     *scenario.Scenario
 	book         *records.Book
 	addrs        *addrBlock
 	startedAt    time.Time
-	trafficStart atomic.Int64 // ns from began to the first arrivals
+	trafficStart atomic.Int64 // ns from startedAt to the start of the traffic; 0 until then
 	listServer   *listServer
 	links        struct {
-		list, clients, consoles []*links.Link // by sidecar; nil for none
-		classOf                 []int         // of each sidecar; 0 has no link upstream
-		classFaults             [][]int       // of each class
-		upstream                map[[2]int]*links.Link
+		list        []*links.Link          // from each sidecar to discovery; nil where no fault needs one
+		clients     []*links.Link          // from the clients of each sidecar to it; nil where no fault needs one
+		consoles    []*links.Link          // from the operator to each sidecar's console; nil where no fault needs one
+		classOf     []int                  // link class of each sidecar; class 0 has no links to endpoints
+		classFaults [][]int                // numbers of the faults of each link class
+		upstream    map[[2]int]*links.Link // by link class and endpoint number
 	}
 
 	mu         sync.Mutex
 	endpoints  []*endpoint
-	current    map[string]*endpoint // by the place's name
-	sidecars   []*process           // nil while it is down
-	processes  []*process
-	clients    []*client
-	lastKillMs map[int]float64 // when one of a sidecar's two processes was killed last
-	firstErr   error
-	cancel     context.CancelCauseFunc
+	current    map[string]*endpoint    // by the name of the scenario's place; replacements take over the name
+	sidecars   []*process              // the serving process of each sidecar; nil while it is down
+	processes  []*process              // all that were started
+	clients    []*client               // by sidecar
+	lastKillMs map[int]float64         // by sidecar: when one of its two processes was last killed during an upgrade
+	firstErr   error                   // why the run was ended early
+	cancel     context.CancelCauseFunc // ends the run
 	faultRuns  sync.WaitGroup
 }
 
-// Result is what a rehearsal showed.
+// Result is the outcome of a run.
 type Result struct {
 	Scenario      *scenario.Scenario
 	Book          *records.Book
 	Broken        []records.Violation
 	Usage         []Usage
 	Events        []Event
-	Endpoints     int // at the start; later ones replaced some of these
-	StartDuration time.Duration
+	Endpoints     int           // number at the start, without the replacements that came later
+	StartDuration time.Duration // until all sidecars served
 }
 
-// Event is something that was done, for the report.
+// Event is an action of the run, such as the start or end of a fault, for the report.
 type Event struct {
-	At   float64
+	At   float64 // ms since the traffic started
 	Text string
 }
 
-// now is ms since the arrivals began.
+// now returns the time in ms since the traffic started; before that, since the run started.
 func (r *Rig) now() float64 {
 	return float64(int64(time.Since(r.startedAt))-r.trafficStart.Load()) / float64(time.Millisecond)
 }
 
-// plain says in words what ran out.
+// explainLimit adds to an error of an exhausted system limit which limit it is and how to stay below it.
 func (r *Rig) explainLimit(err error) error {
 	var openFiles syscall.Rlimit
 	syscall.Getrlimit(syscall.RLIMIT_NOFILE, &openFiles)
 	switch {
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-		return fmt.Errorf("the rehearsal's own descriptors ran out (the limit is %d): use fewer sidecars or endpoints, or raise ulimit -n: %w", openFiles.Cur, err)
+		return fmt.Errorf("the rig's own file descriptors ran out (the limit is %d): use fewer sidecars or endpoints, or raise ulimit -n: %w", openFiles.Cur, err)
 	case errors.Is(err, syscall.EADDRNOTAVAIL):
-		return fmt.Errorf("no port is left for new connections on loopback: use fewer sidecars or less traffic: %w", err)
+		return fmt.Errorf("no loopback ports left for new connections: use fewer sidecars or less traffic: %w", err)
 	case errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.ENOMEM):
-		return fmt.Errorf("the machine carries no more processes: use fewer sidecars: %w", err)
+		return fmt.Errorf("cannot start more processes on this machine: use fewer sidecars: %w", err)
 	}
 	return err
 }
 
-// fail ends the rehearsal.
+// fail ends the run with an error. The first error is kept.
 func (r *Rig) fail(err error) {
 	r.mu.Lock()
 	if r.firstErr == nil {
@@ -130,10 +136,11 @@
 	r.cancel(err)
 }
 
-// later does something after a while, unless the rehearsal ends before.
+// afterFunc calls do after a delay. The timer is not stopped when the run ends.
 func (r *Rig) afterFunc(wait time.Duration, do func()) { time.AfterFunc(wait, do) }
 
-// Run plays the scenario. An error says that it could not be played, or that a process failed; broken rules are in the result.
+// Run runs the scenario. It returns an error if the scenario could not be run or a process failed; broken rules are
+// reported in the result.
 func (r *Rig) Run(ctx context.Context, s *scenario.Scenario) (*Result, error) {
 	ctx, r.cancel = context.WithCancelCause(ctx)
 	defer r.cancel(nil)
@@ -200,7 +207,8 @@
 	return result, errors.Join(errs...)
 }
 
-// restartClock makes now the start of the arrivals.
+// resetClock makes the present the start of the traffic. Endpoint models start anew, as endpoints that have been warm for
+// long.
 func (r *Rig) resetClock() {
 	for _, e := range r.endpoints {
 		e.mu.Lock()
@@ -213,7 +221,7 @@
 	}
 }
 
-// build opens all that stands round the sidecars.
+// setUp starts the endpoints and discovery's listeners, opens the links that faults need and creates the clients.
 func (r *Rig) setUp() error {
 	r.assignLinkClasses()
 	for _, p := range r.scenario.EndpointNodes() {
@@ -254,7 +262,8 @@
 	return nil
 }
 
-// classify puts sidecars whose links upstream have the same faults in one class: they share the links.
+// assignLinkClasses puts sidecars whose links to endpoints have the same faults into one class. Sidecars of a class share
+// links.
 func (r *Rig) assignLinkClasses() {
 	n := r.scenario.Fleet.Sidecars
 	r.links.list, r.links.clients, r.links.consoles, r.links.classOf = make([]*links.Link, n), make([]*links.Link, n), make([]*links.Link, n), make([]int, n)
@@ -277,11 +286,12 @@
 	}
 }
 
+// containsPlace reports whether a list of places has the one with the given number.
 func containsPlace(places []scenario.Node, number int) bool {
 	return slices.ContainsFunc(places, func(p scenario.Node) bool { return p.Number == number })
 }
 
-// named tells whether a fault of such links names a sidecar.
+// hasLinkFault reports whether the scenario has a fault on a sidecar's link of the given kind (the fault's Over).
 func (r *Rig) hasLinkFault(over string, sidecar int) bool {
 	for f := range r.scenario.Faults {
 		if sidecars, _ := r.scenario.FaultTargets(f); r.scenario.Faults[f].Link == over && containsPlace(sidecars, sidecar) {
@@ -291,12 +301,15 @@
 	return false
 }
 
-// hits tells whether a fault's links lead to an endpoint. One that replaced another has no number of the scenario's.
+// linkFaultAppliesTo reports whether the links of fault f lead to an endpoint. A fault that names endpoints does not
+// apply to replacements, which are not places of the scenario.
 func (r *Rig) linkFaultAppliesTo(f int, e *endpoint) bool {
 	_, targets := r.scenario.FaultTargets(f)
 	return len(r.scenario.Faults[f].RemoteEndpoints) == 0 || e.Name == r.scenario.EndpointNodes()[e.Node.Number].Name && containsPlace(targets, e.Node.Number)
 }
 
+// addEndpoint starts an endpoint with the links that its faults need, and lists it as in service. A cold endpoint starts
+// its warm-up now; any other has been warm for long.
 func (r *Rig) addEndpoint(p scenario.Node, name string, cold bool) (*endpoint, error) {
 	e, err := r.newEndpoint(p, name, cold)
 	if err != nil {
@@ -311,7 +324,7 @@
 			continue
 		}
 		if rowFirstClass+class > maxRow {
-			return nil, fmt.Errorf("links upstream fall into %d classes, more than there are addresses for", len(r.links.classFaults))
+			return nil, fmt.Errorf("links to endpoints need %d classes, more than the address block has rows for", len(r.links.classFaults))
 		}
 		l, err := links.New(r.addrs.addr(rowFirstClass+class, e.number), e.addr, r.scenario.SeedOf(fmt.Sprint(class, name)))
 		if err != nil {
@@ -329,7 +342,8 @@
 	return e, nil
 }
 
-// addrFor is where a sidecar finds an endpoint.
+// addrFor returns the address at which a sidecar reaches an endpoint: that of its link, or the endpoint's own if it has
+// none.
 func (r *Rig) addrFor(sidecar, number int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -339,7 +353,8 @@
 	return r.addrs.addr(rowEndpoint, number)
 }
 
-// told enters what the list service wrote to a sidecar. A list on a link that is out is told when that is over.
+// recordNotified records that discovery wrote list entries to a sidecar. During a fault on its link to discovery, the
+// sidecar counts as notified only AskWithin after the end of the fault, by when it has called discovery again.
 func (r *Rig) recordNotified(sidecar int, entries []listEntry) {
 	at := r.now()
 	for f := range r.scenario.Faults {
@@ -355,7 +370,8 @@
 	}
 }
 
-// slack is by how much a leg may have come later than it was sent, for what was done to its link.
+// linkSlackMs returns by how many ms a leg may arrive at its endpoint later than it was sent, because of faults on its
+// link or a stopped process.
 func (r *Rig) linkSlackMs(sidecar, number int, at float64) (ms float64) {
 	for f := range r.scenario.Faults {
 		fault := &r.scenario.Faults[f]
@@ -366,7 +382,7 @@
 			continue
 		}
 		if fault.Kind == "delay" || fault.Kind == "jitter" {
-			ms += 2 * fault.Size // a connection comes up before
+			ms += 2 * fault.Size // the connection is established first, over the same link
 		} else {
 			ms = math.Inf(1)
 		}
@@ -374,7 +390,7 @@
 	return ms
 }
 
-// startAll starts every sidecar and waits until all serve.
+// startAll starts all sidecars and waits until all of them serve.
 func (r *Rig) startAll(ctx context.Context) error {
 	n := r.scenario.Fleet.Sidecars
 	r.sidecars = make([]*process, n)
@@ -399,7 +415,9 @@
 	return firstErr
 }
 
-// startSidecar starts a process for a sidecar and waits until it serves.
+// startSidecar starts a process for a sidecar and waits until it serves. A process that starts beside a serving one and
+// has its console in a row other than rowConsole is checked at that console, since both processes share the sidecar's
+// address. Any other is checked at the sidecar's address.
 func (r *Rig) startSidecar(s int, program string, consoleRow int) error {
 	dir := filepath.Join(r.Dir, fmt.Sprint("s", s))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -431,13 +449,14 @@
 	return nil
 }
 
+// sidecar returns the serving process of a sidecar, nil while it is down.
 func (r *Rig) sidecar(s int) *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.sidecars[s]
 }
 
-// traffic asks for all exchanges when they are due, and waits for the last one's end.
+// sendTraffic sends each of the scenario's requests when it is due, and waits until all have ended.
 func (r *Rig) sendTraffic(ctx context.Context) {
 	var pending sync.WaitGroup
 	for _, a := range r.scenario.Arrivals() {
@@ -452,10 +471,10 @@
 		}
 		pending.Go(func() { r.clients[a.Sidecar].send(a) })
 	}
-	pending.Wait() // each has a deadline
+	pending.Wait() // ends, as each request has a deadline
 }
 
-// endAll ends every process in order and says which would not.
+// terminateAll terminates all processes with SIGTERM, kills those that do not end, and returns an error that names them.
 func (r *Rig) terminateAll() (err error) {
 	var mu sync.Mutex
 	var pending sync.WaitGroup
@@ -467,7 +486,7 @@
 			if !p.endsWithin(r.longestAbandon() + killDelay + 5*time.Second) {
 				p.Process.Kill()
 				mu.Lock()
-				err = errors.Join(err, fmt.Errorf("%s did not end after SIGTERM", p.name))
+				err = errors.Join(err, fmt.Errorf("%s did not end in time after SIGTERM", p.name))
 				mu.Unlock()
 				<-p.ended
 			}
@@ -477,6 +496,7 @@
 	return err
 }
 
+// longestAbandon returns the longest abandon time of the scenario's products.
 func (r *Rig) longestAbandon() time.Duration {
 	longestMs := 0.0
 	for _, p := range r.scenario.Products {
@@ -485,7 +505,9 @@
 	return time.Duration(longestMs * float64(time.Millisecond))
 }
 
-// end takes down what is left, whatever happened. It waits for servers that may be telling of a fault just then, and so holds no lock.
+// tearDown kills the remaining processes and closes all servers and links, however the run ended. It must not hold the
+// rig's lock while it closes the servers: a server may be reporting an error at that moment (serverErrors), which takes
+// the lock.
 func (r *Rig) tearDown() {
 	r.mu.Lock()
 	processes, endpoints, upstream := slices.Clone(r.processes), slices.Clone(r.endpoints), slices.Collect(maps.Values(r.links.upstream))
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -20,11 +20,14 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
+// raceEnabled is set where the tests are built with the race detector.
 var raceEnabled bool
 
+// programs holds the builds of the program, by build tags.
 var programs sync.Map
 
-// program builds the program once for all tests, with the race detector where they have it.
+// buildProgram builds the program once for all tests, with the race detector if the tests run with it, and returns its
+// path.
 func buildProgram(t *testing.T, tags string) string {
 	once, _ := programs.LoadOrStore(tags, sync.OnceValues(func() (string, error) {
 		path := filepath.Join(os.TempDir(), fmt.Sprintf("lynxjunction-rig-%d%s", os.Getpid(), tags))
@@ -55,6 +58,7 @@
 	os.Exit(code)
 }
 
+// runScenario runs a scenario of testdata.
 func runScenario(t *testing.T, r *Rig, file string) (*Result, error) {
 	s, err := scenario.Read(filepath.Join("testdata", file))
 	require.NoError(t, err)
@@ -62,7 +66,7 @@
 	return r.Run(t.Context(), s)
 }
 
-// Several processes, every kind of fault between them, and every rule kept. What each client got is counted from its own side.
+// Runs several sidecars under every kind of fault: no rule is broken. Answers are counted by the clients.
 func TestAllRulesHoldUnderEveryKindOfFault(t *testing.T) {
 	t.Parallel()
 	result, err := runScenario(t, &Rig{Program: buildProgram(t, "")}, "faults.toml")
@@ -75,18 +79,19 @@
 	events := strings.Builder{}
 	for _, e := range result.Events {
 		events.WriteString(e.Text + "\n")
-		assert.NotContains(t, e.Text, "no yes")
+		assert.NotContains(t, e.Text, "did not accept")
 	}
 	for _, f := range result.Scenario.Faults {
 		assert.Contains(t, events.String(), f.Kind)
 	}
-	assert.Len(t, result.Usage, 6+8, "one killed, one restarted, one upgraded, then all but one at once")
+	assert.Len(t, result.Usage, 6+8, "6 sidecars; one killed, one restarted, one upgraded, then five at once")
 }
 
-// Clients that leave while their exchanges wait, some with more behind their request, some with a reset: by the endpoints'
-// own accounts nothing, first leg or further, is sent on for them 0.1 s later, steadily, in overload, with endpoints hanging,
-// during restarts and a hand-over. That the check can fail is shown by a program that does not hear of the leaving.
-func TestNoLegsAreSentForClientsThatLeft(t *testing.T) { // not beside the others: its verdict is one of time
+// Guards against legs that are sent for clients that have closed their connection. Clients leave while their exchanges
+// wait, some after sending part of a further request, some with a reset. By the endpoints' records no leg, first or
+// further, arrives more than 0.1 s later: under steady load, in overload, with hanging endpoints, during restarts and an
+// upgrade. A program with an injected defect, which does not notice that clients leave, shows that the check can fail.
+func TestNoLegsAreSentForClientsThatLeft(t *testing.T) { // not in parallel with other tests, since it checks times
 	for _, defect := range []string{"", "deserted"} {
 		t.Run("defect "+defect, func(t *testing.T) {
 			t.Parallel()
@@ -105,7 +110,8 @@
 	}
 }
 
-// The checker itself: a defect sown for each rule is found, with its story; without it all is kept.
+// Checks the checker: for each rule it detects a program with an injected defect and reports what happened. Without a
+// defect no rule is broken.
 func TestInjectedDefectsAreDetected(t *testing.T) {
 	t.Parallel()
 	for defect, rule := range map[string]string{"": "", "lost": records.RuleNoExchangeLost, "twice": records.RuleNoDuplicateEffect, "drains": records.RuleDrainsKept, "cold": records.RuleNoColdCollapse, "budget": records.RuleLegBudget} {
@@ -128,10 +134,11 @@
 	}
 }
 
-// Twenty light sidecars before like endpoints, then a third killed, links delayed and the list service down: no endpoint is
-// left idle and none gets a herd, at any time. An endpoint gets some 120 arrivals a phase; five standard deviations of the
-// binomial are 0.46 of that. A heavy sidecar that was just restarted still keeps to few for a while (2.3 times the mean was seen,
-// docs/fleet.md, open), so that only the whole fleet at one endpoint fails here. How even it is otherwise is tested in virtual time.
+// Twenty lightly loaded sidecars and equal endpoints; then a third of the sidecars is killed, links are delayed and
+// discovery is down. In each phase no endpoint is left idle and none gets most of the traffic (herding). An endpoint gets
+// about 120 arrivals in a phase; five standard deviations of the binomial are 0.46 of that. A heavily loaded sidecar
+// still uses only a few endpoints for a while after a restart (2.3 times the mean was seen, docs/fleet.md, open), so the
+// upper limit only catches the whole fleet at one endpoint. How even the load is otherwise is tested in virtual time.
 func TestNoEndpointIsOverloadedOrIdle(t *testing.T) {
 	t.Parallel()
 	result, err := runScenario(t, &Rig{Program: buildProgram(t, "")}, "even.toml")
@@ -147,7 +154,7 @@
 	}
 }
 
-// A process that ends by itself, or says no at its start, fails the rehearsal with its own words.
+// A process that refuses to start or ends unexpectedly fails the run, with an error that quotes the process's output.
 func TestFailedProcessesFailTheRun(t *testing.T) {
 	t.Parallel()
 	for name, script := range map[string]string{"refuses": "echo no such thing >&2; exit 1", "crashes": "echo 'panic: here' >&2; exit 2"} {
@@ -160,12 +167,12 @@
 	assert.ErrorContains(t, err, "no such file")
 }
 
-// holder is a rig in a process of its own, which the test kills.
+// runChildRig runs a rig in a child process of a test, which may limit its descriptors or kill it.
 func runChildRig() {
 	s, _ := scenario.Read(filepath.Join("testdata", "rules.toml"))
 	r := &Rig{Program: os.Getenv("RIG_TEST_HOLDER"), Dir: os.Getenv("RIG_TEST_DIR")}
 	if left, _ := strconv.Atoi(os.Getenv("RIG_TEST_FILES")); left > 0 {
-		const most = 200 // the processes that it starts need some
+		const most = 200 // enough for the processes that it starts
 		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: most, Max: most})
 		for {
 			f, err := os.Open("/dev/null")
@@ -183,7 +190,7 @@
 	os.Exit(0)
 }
 
-// The rig's own descriptors run out, before or in the middle of it: it says so plainly, and ends.
+// The rig's own file descriptors run out, at its start or during the run: the run ends with an error that says so.
 func TestDescriptorExhaustionIsReported(t *testing.T) {
 	t.Parallel()
 	for _, left := range []string{"12", "32"} {
@@ -194,7 +201,7 @@
 	}
 }
 
-// The rig itself killed: nothing that it started outlives it.
+// Processes that the rig started end when the rig itself is killed.
 func TestChildrenEndWhenTheRigIsKilled(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/internal/rig/sound.go
+++ b/internal/rig/sound.go
@@ -1,23 +1,24 @@
-// Sound: when a sidecar has all that it needs to serve. This file owns which faults take that from it, and for how long they act on.
+// Healthy periods: when a sidecar has all that it needs to serve its share of requests. Defines which faults excuse it
+// from that, and for how long after their end.
+
 package rig
 
 import "slices"
 
 const (
-	// afterEffect is for how long, in ms, a fault that is over is still felt: endpoints that are avoided, queues that drain.
-	afterEffectMs = 2000.0
-	// downtime is how long, in ms, a sidecar that is killed or restarted may take beyond the fault's own time to be back.
-	restartAllowanceMs = 2000.0
+	afterEffectMs      = 2000.0 // after a fault's end, in which endpoints are still avoided and queues drain
+	restartAllowanceMs = 2000.0 // beyond the fault's own time, until a killed or restarted sidecar has to serve again
 )
 
-// unsoundEndpoints and unsoundSidecars are faults of endpoints, which all sidecars feel, and of the sidecars themselves or their clients.
-// Drains, replacements, trouble of the list service, hand-overs and crowds are no excuse.
+// Faults that excuse a sidecar from its share of served requests. Drains, replacements, faults of discovery, upgrades and
+// connection floods do not.
 var (
-	endpointFaults = []string{"slow", "hang", "errors", "crash"}
-	sidecarFaults  = []string{"kill", "restart", "stop", "leave"}
+	endpointFaults = []string{"slow", "hang", "errors", "crash"}  // affect all sidecars
+	sidecarFaults  = []string{"kill", "restart", "stop", "leave"} // affect the sidecar whose process or clients they act on
 )
 
-// sound tells whether endpoints, links and cores of a sidecar are sound from one time to another, in ms.
+// isHealthy reports whether no fault impairs a sidecar's endpoints, links, process or clients from one time to another,
+// in ms.
 func (r *Rig) isHealthy(sidecar int, from, to float64) bool {
 	for n := range r.scenario.Faults {
 		f := &r.scenario.Faults[n]
--- a/internal/rig/watch.go
+++ b/internal/rig/watch.go
@@ -1,5 +1,7 @@
-// Watch: one call to the list service, from the turn that it got to its end. This file owns what a watch says and what it leaves out
-// while a fault of watches lasts, and when what it left out counts as notified. What is listed stands in list.go.
+// Calls and watches of the discovery stand-in: what a call is sent from the moment that discovery takes it up until it
+// ends, what a fault of watches suppresses, and when a sidecar counts as notified of a suppressed change. The list itself
+// is kept in list.go.
+
 package rig
 
 import (
@@ -13,50 +15,50 @@
 )
 
 const (
-	heartbeatInterval = 2 * time.Second
-	// notifiedAfterEnded is when a change counts as notified that a watch should have told, after the end of that watch.
-	notifiedAfterEnded = 2 * time.Second
+	heartbeatInterval  = 2 * time.Second // of the empty lines in a watch
+	notifiedAfterEnded = 2 * time.Second // from the end of a watch until a change that it did not send counts as notified
 )
 
-// Faults of watches, by their names in a scenario.
+// Faults of watches, under their names in a scenario.
 const (
-	faultListEnds   = "list-ends"   // a change ends all watches some time later in place of being told; whole lists leave out what drains
-	faultListMute   = "list-mute"   // a watch goes on beating and tells no change any more
-	faultListSilent = "list-silent" // a watch says nothing any more, and its connection stays open
+	faultListEnds   = "list-ends"   // a change is not sent but ends all watches later; calls get full lists, without draining endpoints
+	faultListMute   = "list-mute"   // a watch still sends heartbeats, but no more changes
+	faultListSilent = "list-silent" // a watch sends nothing more, and its connection stays open
 )
 
-// isWatchFault tells whether a fault is one of watches.
+// isWatchFault reports whether a fault is one of watches.
 func isWatchFault(what string) bool {
 	return what == faultListEnds || what == faultListMute || what == faultListSilent
 }
 
-// setWatchFault begins a fault of watches.
+// setWatchFault begins fault n of watches.
 func (l *listServer) setWatchFault(n int, what string, size float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.watchFaults[n] = watchFault{what, size}
 }
 
-// clearWatchFault ends it. A watch that is mute or silent by then stays so.
+// clearWatchFault ends fault n of watches. A watch that is mute or silent by then stays so.
 func (l *listServer) clearWatchFault(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.watchFaults, n)
 }
 
-// watchFault is one that lasts. Of two of a kind the larger counts.
+// watchFault is a fault of watches in force. Of two of the same kind the larger size counts.
 type watchFault struct {
 	what string
 	size float64
 }
 
-// watchFault is the size of a fault of watches, 0 while there is none.
+// watchFaultSize returns the size of a kind of fault of watches, 0 while none is in force.
 func (l *listServer) watchFaultSize(what string) (size float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.watchFaultSizeLocked(what)
 }
 
+// watchFaultSizeLocked is watchFaultSize with the lock held.
 func (l *listServer) watchFaultSizeLocked(what string) (size float64) {
 	for _, f := range l.watchFaults {
 		if f.what == what {
@@ -66,7 +68,8 @@
 	return size
 }
 
-// planEnd sets the time at which the watches end that miss a change, unless they are to end for an earlier one. The lock is held.
+// scheduleEnd schedules the end of the watches that miss a change, unless their end is already scheduled for an earlier
+// change. The delay is drawn from the seed and the list's version, up to maxDelay. The lock is held.
 func (l *listServer) scheduleEnd(maxDelay time.Duration, version int) {
 	if l.nextEnd != nil {
 		return
@@ -82,27 +85,28 @@
 	})
 }
 
-// plannedEnd is closed when the watches end that miss a change; nil if they have ended.
+// scheduledEnd returns a channel that is closed when the watches that missed a change are to end; nil if they have
+// already ended.
 func (l *listServer) scheduledEnd() chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.nextEnd
 }
 
-// watch is one call, and what follows its first list if it is a watch.
+// watch is one call to discovery: a single answer, or a stream of updates if the call asks to watch.
 type watch struct {
 	server      *listServer
 	sidecar     int
-	number      int // among the calls of its sidecar that got a list
+	number      int // of the call, among those of its sidecar that got a list
 	writer      http.ResponseWriter
 	request     *http.Request
-	after       int     // the version that it has told
-	lastWriteMs float64 // when it last said something, in ms
-	mute        bool
-	silent      bool
+	after       int     // the list's version that the sidecar has
+	lastWriteMs float64 // when something was last written to it
+	mute        bool    // sends heartbeats but no more changes
+	silent      bool    // sends nothing more
 }
 
-// newWatch is that of a call whose turn has come.
+// newWatch creates the watch of a call that discovery has taken up.
 func (l *listServer) newWatch(sidecar int, w http.ResponseWriter, r *http.Request) *watch {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,12 +118,13 @@
 	return &watch{server: l, sidecar: sidecar, number: l.watches[sidecar], writer: w, request: r, after: after}
 }
 
-// chance draws from 0 to 1 for this watch and a fault, by the seed.
+// draw returns a random number from 0 to 1 that depends on the scenario's seed, the kind of fault, the sidecar and the
+// call.
 func (w *watch) draw(what string) float64 {
 	return rand.New(rand.NewPCG(w.server.rig.scenario.SeedOf(what), w.server.rig.scenario.SeedOf(fmt.Sprint(w.sidecar, "-", w.number)))).Float64()
 }
 
-// serve tells the list, or what changed, and then each change until the watch ends.
+// serve sends the list, or what changed, and if the call is a watch each further change until the watch ends.
 func (w *watch) serve() {
 	inServiceOnly := w.server.watchFaultSize(faultListEnds) > 0
 	if inServiceOnly {
@@ -158,7 +163,7 @@
 	}
 }
 
-// tell writes a list or a change, and enters what it says as told.
+// send writes a list or a change and records that the sidecar is notified of it. It returns false if the write failed.
 func (w *watch) send(t listUpdate) bool {
 	if json.NewEncoder(w.writer).Encode(t) != nil {
 		return false
@@ -169,7 +174,7 @@
 	return true
 }
 
-// beat writes the empty line of a watch that has nothing to tell.
+// sendHeartbeat writes an empty line, which shows that the watch is alive. It returns false if the write failed.
 func (w *watch) sendHeartbeat() bool {
 	if _, err := w.writer.Write([]byte("\n")); err != nil {
 		return false
@@ -179,7 +184,8 @@
 	return true
 }
 
-// endInPlaceOfTelling goes on beating until the planned end, and breaks the connection off then.
+// endWithoutUpdate sends heartbeats until the scheduled end of watches and then closes the connection in the middle of
+// the answer. The change that it did not send counts as notified notifiedAfterEnded later.
 func (w *watch) endWithoutUpdate(heartbeat *time.Ticker) {
 	for ended := w.server.scheduledEnd(); ended != nil; {
 		select {
@@ -193,24 +199,25 @@
 			ended = nil
 		}
 	}
-	w.server.scheduleNotified(w.sidecar, w.after, notifiedAfterEnded, "a watch ended in place of telling it")
+	w.server.scheduleNotified(w.sidecar, w.after, notifiedAfterEnded, "a watch ended without sending it")
 	panic(http.ErrAbortHandler)
 }
 
-// isMute tells whether a watch tells no change any more.
+// isMute reports whether the watch sends no more changes. Once drawn as mute it stays so.
 func (w *watch) isMute() bool {
 	w.mute = w.mute || w.draw(faultListMute) < w.server.watchFaultSize(faultListMute)
 	return w.mute
 }
 
-// isSilent tells whether a watch says nothing any more.
+// isSilent reports whether the watch sends nothing more. Once drawn as silent it stays so.
 func (w *watch) isSilent() bool {
 	w.silent = w.silent || w.draw(faultListSilent) < w.server.watchFaultSize(faultListSilent)
 	return w.silent
 }
 
-// oweAfterSilence enters what a silent watch misses as told some time after its last word.
+// scheduleNotifiedAfterSilence makes the changes that a silent watch does not send count as notified notifiedAfterReached
+// after the last write to it, by when the sidecar has to have given it up.
 func (w *watch) scheduleNotifiedAfterSilence() {
 	at := w.lastWriteMs + float64(notifiedAfterReached.Milliseconds())
-	w.server.scheduleNotified(w.sidecar, w.after, time.Duration(max(at-w.server.rig.now(), 0)*float64(time.Millisecond)), "a watch was silent for so long")
+	w.server.scheduleNotified(w.sidecar, w.after, time.Duration(max(at-w.server.rig.now(), 0)*float64(time.Millisecond)), "a watch was silent beyond its time limit")
 }
--- a/internal/rig/watch_test.go
+++ b/internal/rig/watch_test.go
@@ -16,12 +16,13 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-// listTrial is a list service with two endpoints in service, before one sidecar that is the test.
+// listServerTest is a stand-in of discovery with two endpoints in service. The test plays its one sidecar.
 type listServerTest struct {
 	*testing.T
 	rig *Rig
 }
 
+// newListServerTest starts the stand-in of discovery.
 func newListServerTest(t *testing.T) *listServerTest {
 	s, err := scenario.Read("testdata/rules.toml")
 	require.NoError(t, err)
@@ -44,22 +45,22 @@
 	return c
 }
 
-// list enters an endpoint's state, and returns when.
+// publish enters an endpoint's state into the list, and returns the time in ms.
 func (c *listServerTest) publish(number int, state string) (at float64) {
 	at = c.rig.now()
 	c.rig.listServer.publish(listEntry{ID: fmt.Sprint("e", number), State: state, number: number})
 	return at
 }
 
-// heardWatch is what a watch of the test has said.
+// watchOutput is what the test has received from a watch.
 type watchOutput struct {
-	lists      []listUpdate
+	lists      []listUpdate // the list and the changes
 	heartbeats int
-	err        error
-	ended      float64
+	err        error   // with which reading ended
+	ended      float64 // when reading ended, in ms
 }
 
-// watch calls the list service and listens for so long, or until the watch ends.
+// watch calls discovery for a watch and reads it for the given time, or until the watch ends.
 func (c *listServerTest) watch(after int, within time.Duration) (w watchOutput) {
 	got, err := http.Get(fmt.Sprintf("http://%s/discovery/hosts?watch=1&after=%d", c.rig.addrs.addr(rowList, 0), after))
 	require.NoError(c, err)
@@ -83,7 +84,7 @@
 	}
 }
 
-// told is when the sidecar counted as told of an endpoint, and why.
+// notified returns when the sidecar counted as notified that an endpoint left service, and why; -1 if it did not.
 func (c *listServerTest) notified(endpoint string) (at float64, why string) {
 	for _, o := range c.rig.book.DrainSummaries() {
 		if o.Endpoint == endpoint {
@@ -93,8 +94,12 @@
 	return -1, ""
 }
 
-const toleranceMs = 300.0 // ms
+// toleranceMs is how far measured times may lie from the expected ones.
+const toleranceMs = 300.0
 
+// With the fault list-ends a watch gets no update of a drain. It is closed within the fault's time, and the drain counts
+// as notified notifiedAfterEnded later. A new call gets a full list without the draining endpoint, and counts as notified
+// at once.
 func TestListEndsBreaksWatchesOffInsteadOfSendingUpdates(t *testing.T) {
 	t.Parallel()
 	c := newListServerTest(t)
@@ -107,23 +112,25 @@
 	assert.Len(t, w.lists[0].Servers, 2)
 	assert.InDelta(t, <-changed+250, w.ended, 250+toleranceMs)
 	at, _ := c.notified("e0")
-	assert.Negative(t, at, "not told before its time")
+	assert.Negative(t, at, "not notified yet")
 	time.Sleep(notifiedAfterEnded + 200*time.Millisecond)
 	at, why := c.notified("e0")
 	assert.InDelta(t, w.ended+2000, at, toleranceMs)
-	assert.Equal(t, "a watch ended in place of telling it", why)
+	assert.Equal(t, "a watch ended without sending it", why)
 
 	c.publish(1, "terminating")
-	time.Sleep(600 * time.Millisecond) // watches have ended for it
+	time.Sleep(600 * time.Millisecond) // until the fault has ended watches for this change
 	w = c.watch(w.lists[0].Version, 100*time.Millisecond)
 	require.Len(t, w.lists, 1)
 	assert.True(t, w.lists[0].Full)
-	assert.Empty(t, w.lists[0].Servers, "a whole list leaves out what drains")
+	assert.Empty(t, w.lists[0].Servers, "a full list leaves out draining endpoints")
 	at, why = c.notified("e1")
 	assert.InDelta(t, c.rig.now(), at, toleranceMs+100)
 	assert.Equal(t, "listed as terminating", why)
 }
 
+// An outage of discovery after the end of a watch: the missed change counts as notified notifiedAfterReached after the
+// outage, not notifiedAfterEnded after the end of the watch.
 func TestMissedUpdateIsNotDueAfterWatchEndWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	c := newListServerTest(t)
@@ -142,9 +149,11 @@
 	time.Sleep(notifiedAfterReached - notifiedAfterEnded + 200*time.Millisecond)
 	at, why := c.notified("e0")
 	assert.InDelta(t, restored+6000, at, toleranceMs)
-	assert.Equal(t, "discovery is back", why)
+	assert.Equal(t, "discovery is reachable again", why)
 }
 
+// With the fault list-mute a watch sends heartbeats but no updates, even after the end of the fault. The change counts as
+// notified notifiedAfterReached later, and another call gets it.
 func TestListMuteSendsHeartbeatsButNoUpdates(t *testing.T) {
 	t.Parallel()
 	c := newListServerTest(t)
@@ -152,21 +161,23 @@
 	changed := make(chan float64, 1)
 	time.AfterFunc(200*time.Millisecond, func() {
 		changed <- c.publish(0, "terminating")
-		time.Sleep(200 * time.Millisecond) // for the watch to see it
+		time.Sleep(200 * time.Millisecond) // for the watch to become mute at the change
 		c.rig.listServer.clearWatchFault(0)
 		c.publish(1, "terminating")
 	})
 	w := c.watch(fullList, 6500*time.Millisecond)
-	assert.Len(t, w.lists, 1, "mute for good")
+	assert.Len(t, w.lists, 1, "the watch stays mute")
 	assert.Equal(t, 3, w.heartbeats)
 	at, why := c.notified("e0")
 	assert.InDelta(t, <-changed+6000, at, toleranceMs)
-	assert.Equal(t, "discovery had it and could be reached", why)
+	assert.Equal(t, "discovery listed it and was reachable", why)
 	w = c.watch(w.lists[0].Version, 100*time.Millisecond)
 	require.Len(t, w.lists, 1)
-	assert.Len(t, w.lists[0].Servers, 2, "another call hears it")
+	assert.Len(t, w.lists[0].Servers, 2, "another call gets both changes")
 }
 
+// With the fault list-silent a watch sends nothing more and its connection stays open. A change counts as notified
+// notifiedAfterReached after the last heartbeat, not after the change.
 func TestListSilentSendsNothingAndStaysOpen(t *testing.T) {
 	t.Parallel()
 	c := newListServerTest(t)
@@ -177,10 +188,11 @@
 	assert.Equal(t, 1, w.heartbeats)
 	assert.NotErrorIs(t, w.err, io.ErrUnexpectedEOF)
 	at, why := c.notified("e0")
-	assert.InDelta(t, 2000+6000, at, toleranceMs, "from its last word")
-	assert.Equal(t, "a watch was silent for so long", why)
+	assert.InDelta(t, 2000+6000, at, toleranceMs, "from its last heartbeat")
+	assert.Equal(t, "a watch was silent beyond its time limit", why)
 }
 
+// With the fault list-ends all watches end at the same time after a change.
 func TestListEndsBreaksAllWatchesOffTogether(t *testing.T) {
 	t.Parallel()
 	c := newListServerTest(t)
@@ -199,7 +211,8 @@
 	assert.InDelta(t, first, last, 100)
 }
 
-// Shares of watches are drawn by the seed and by how many calls of the sidecar were answered before.
+// Which watches a fault affects is drawn from the seed, the sidecar and the number of its calls that were answered
+// before.
 func TestWatchFaultsAreDrawnBySeed(t *testing.T) {
 	draws := func(seed uint64) (all []float64) {
 		s := &scenario.Scenario{Seed: seed}
@@ -217,5 +230,5 @@
 			under++
 		}
 	}
-	assert.InDelta(t, 300, under, 60, "over four standard deviations")
+	assert.InDelta(t, 300, under, 60, "tolerance of over four standard deviations")
 }
