--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// runOptions holds the flags of one run, and where its files were kept.
+// runOptions holds the flags of one run, and where its files were kept. Field policy applies to virtual time only, program
+// and upgradeProgram to runs with processes only. A seed of 0 stands for the scenario's own.
 type runOptions struct {
 	program, upgradeProgram, outDir, policy string
 	virtual                                 bool
@@ -265,8 +266,8 @@
 	file := scenario.StartFile(s, 0, "a", "127.0.0.1:8080", "127.0.0.1:8081", known)
 	file["console"] = "127.0.0.1:8082"
 	for key, comment := range map[string]string{
-		"name": "of this sidecar, for logs", "listen": "address for requests of the calling process", "discovery": "address of the service that serves the list of endpoints",
-		"console": "operators' own address; may be left out", "seed": "hex; seeds all random decisions",
+		"name": "of this sidecar, for logs", "listen": "where the calling process finds it", "discovery": "where the list of endpoints is asked for",
+		"console": "operators' own address; may be left out", "seed": "hex; all chance follows from it",
 		"limits": "cores, memory in MB and descriptors that the process may have", "known": "the list as last held, or null",
 		"settings": "products, permissions and the figures of the rules; times in ms, locality is our zone",
 	} {
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -121,7 +121,8 @@
 	return nil
 }
 
-// runSeed runs the scenario of one seed. If it breaks a rule, its schedule is reduced and written to the output folder.
+// runSeed runs the scenario of one seed. If it breaks a rule, its schedule is reduced to the faults that are needed, if the
+// flags ask for that. The schedule, timeline and logs of a run that broke a rule or failed are written to the output folder.
 func (f *soakFlags) runSeed(ctx context.Context, runner *soak.Runner, seed uint64) soakLine {
 	result := runner.RunSeed(ctx, seed)
 	if f.reduce && result.Failed() && result.Err == nil {
--- a/cmd/lab/summary.go
+++ b/cmd/lab/summary.go
@@ -116,7 +116,9 @@
 	return t
 }
 
-const maxSendDelayMs = 50.0 // at the 99th percentile; a larger delay of the clients' sending makes the wait times unreliable
+// maxSendDelayMs is the limit of the delay with which clients send, at the 99th percentile. The largest delay of a run may
+// be 20 times as long. Above either limit the wait times are not reliable.
+const maxSendDelayMs = 50.0
 
 const (
 	maxBars     = 24 // endpoints that fit on a terminal
--- a/cmd/lynxjunction/drain_after_faults_test.go
+++ b/cmd/lynxjunction/drain_after_faults_test.go
@@ -36,8 +36,8 @@
 //
 // Evidence: in both recorded runs discovery wrote no complete answer to the process in the gap, so none was discarded.
 // The last request to a draining endpoint came before the log line for the received list. All times agree with the
-// monotonic clock, although the wall clock was stepped. The tests inject the same faults into real processes and fail
-// in the same way.
+// monotonic clock, although the wall clock was stepped. The tests inject the same faults into real processes, and fail
+// in the same way without the fix.
 
 // Bounds of the protocol. A change counts as notified some time after discovery has it and is reachable, or after a
 // reload. The grace for drains follows, with the slack that every limit at sockets has.
--- a/cmd/lynxjunction/drain_lease_test.go
+++ b/cmd/lynxjunction/drain_lease_test.go
@@ -30,11 +30,11 @@
 const (
 	notifiedAfterEnd = 2 * time.Second // after a watch ended instead of sending the change
 
-	leaseRequestInterval = 50 * time.Millisecond // between two requests to a sidecar
-	leaseTimeout         = time.Second           // timeout of requests in trials that check the time of answers
-	longTimeout          = 2400 * time.Millisecond
-	answerGrace          = 500 * time.Millisecond
-	settleTime           = 500 * time.Millisecond // after a list is received, until all requests are served again
+	leaseRequestInterval = 50 * time.Millisecond   // between two requests to a sidecar
+	leaseTimeout         = time.Second             // timeout of requests in trials that check the time of answers
+	longTimeout          = 2400 * time.Millisecond // timeout of requests in trials that need them in flight for longer
+	answerGrace          = 500 * time.Millisecond  // after the timeout of a request, in which its answer may still come
+	settleTime           = 500 * time.Millisecond  // after a list is received, until all requests are served again
 
 	queuedCallWork    = 60 * time.Millisecond
 	queuedCalls       = 53                      // calls of other clients ahead of the sidecar's first call
@@ -42,9 +42,9 @@
 	outageTime        = 4 * time.Second
 	lateRequestWindow = 3 * time.Second // after the bound of a drain, in which late requests are looked for
 
-	stayingEndpointWork = 10 * time.Millisecond // the endpoint that stays is slower, so that the other is preferred as long as it is eligible
-	maxTestStall        = 100 * time.Millisecond
-	maxRuns             = 3
+	stayingEndpointWork = 10 * time.Millisecond  // the endpoint that stays is slower, so that the other is preferred as long as it is eligible
+	maxTestStall        = 100 * time.Millisecond // a trial is repeated if the test process was stalled for longer
+	maxRuns             = 3                      // of a trial
 )
 
 // leaseDiscovery is a faultyDiscovery that can be shut down, queue calls and hold calls without an answer.
@@ -662,7 +662,7 @@
 		append(repeatedFaults(8, "half a head", "half a list"), long...))
 }
 
-// Series of eight faulty answers that can't be told from a discovery that is down.
+// Series of eight faulty answers that can't be distinguished from a discovery that is down.
 func TestNoRequestToADrainBehindEightAnswersThatEndAtOnce(t *testing.T) {
 	runFaultyAnswers(t, repeatedFaults(8, "busy", "reset"), nil)
 }
--- a/internal/callqueue/callqueue.go
+++ b/internal/callqueue/callqueue.go
@@ -1,5 +1,6 @@
 // Package callqueue models the queue of calls at a discovery service: calls are served in order, each takes a fixed amount of work,
-// and the work of abandoned calls is done too. Tests and scenario runs put it in front of a list service. It knows nothing of lists.
+// and the work of abandoned calls is done too. Tests and scenario runs put it in front of a list service. It is independent of
+// the content of lists.
 package callqueue
 
 import (
@@ -148,7 +149,7 @@
 	}
 }
 
-// Up accepts calls again. Calls from before Down are no longer counted.
+// Up accepts calls again. CallCount restarts from 0.
 func (q *Queue) Up() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -30,7 +30,7 @@
 	// CollapseRatio is the work sent to a cold endpoint within CollapseWindowMs, relative to its capacity in that time,
 	// above which it collapses; 0 for never.
 	CollapseRatio    float64
-	CollapseWindowMs float64
+	CollapseWindowMs float64 // length of the window, which ends with the present arrival
 	// MeanWorkMs is the mean work of a request, by which the slack before a collapse is computed (collapseSlack); 0 for
 	// no slack.
 	MeanWorkMs float64
@@ -204,7 +204,7 @@
 	return min(e.nextDone, e.rateUntil)
 }
 
-// Advance moves the model's time to now and calls each for every job that ends until then, in order.
+// Advance moves the model's time to now and calls onDone for each job that ends until then, in order.
 func (e *Endpoint) Advance(now float64, onDone func(Done)) {
 	for e.now < now {
 		if len(e.jobs) == 0 { // no job can end, so only the rate at now matters
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -62,7 +62,7 @@
 func TestQueueingMatchesKnownResults(t *testing.T) {
 	exponential := func(d *rand.Rand) float64 { return 10 * d.ExpFloat64() }
 	fixed := func(*rand.Rand) float64 { return 10 }
-	mixed := func(d *rand.Rand) float64 { // mean 10, squared coefficient of variation 2.24
+	mixed := func(d *rand.Rand) float64 { // mean 10, squared coefficient of variation 2.25
 		if d.Float64() < 0.1 {
 			return 55
 		}
--- a/internal/hands/hands.go
+++ b/internal/hands/hands.go
@@ -1,9 +1,9 @@
-// Package hands stores operator drains: which endpoints operators have taken out of service by hand, which endpoint ids were
-// ever listed, and the small file in which both outlast the process. It does not decide where an exchange goes: it reports
-// changes to its user, which passes them to the module. Invariants: it never confirms a drain as saved that is not on disk, and
-// it never waits for the disk while it holds a lock that the counters or a health check need. One goroutine, Run, does all disk
-// access; calls that arrive during a write are saved together by the next one (group commit: DeWitt et al., Implementation
-// Techniques for Main Memory Database Systems, SIGMOD 1984, section 4).
+// Package hands stores operator drains: which endpoints operators have taken out of service, which endpoint ids were ever listed,
+// and the small file in which both outlast the process. It does not decide where an exchange goes: it reports changes to its
+// user, which passes them to the module. Invariants: it never confirms a drain as saved that is not on disk, and it never waits
+// for the disk while it holds a lock that the counters or a health check need. One goroutine, Run, does all disk access; calls
+// that arrive during a write are saved together by the next one (group commit: DeWitt et al., Implementation Techniques for Main
+// Memory Database Systems, SIGMOD 1984, section 4).
 package hands
 
 import (
@@ -57,7 +57,7 @@
 	newlyListed   []string // ids not merged into listed yet
 
 	// Used by Run's goroutine only.
-	fileDamaged bool      // the file could not be read, and that is logged
+	fileDamaged bool      // the file could not be read; this has been logged
 	saveAt      time.Time // earliest write for listed ids alone
 	retryAt     time.Time // earliest write of pending changes after a failed one
 }
@@ -197,8 +197,9 @@
 }
 
 // SetDrain drains or undrains an endpoint. If the id is known, the change takes effect at once and is then saved. The result nil
-// means that it is on disk. After ErrNotSaved or ErrNotSavedYet it is in force but might not outlast the process; saving is
-// retried until the file holds it or a later change of the id. ErrNotSavedYet is returned when ctx ends.
+// means that it is on disk, or in force if the store is kept in memory only. After ErrNotSaved or ErrNotSavedYet the change of a
+// known id is in force but might not outlast the process; saving is retried until the file holds it or a later change of the id.
+// ErrNotSavedYet is returned when ctx ends.
 func (s *DrainStore) SetDrain(ctx context.Context, id string, drained bool) error {
 	s.mu.Lock()
 	s.mergeNewlyListed()
--- a/internal/hands/hands_test.go
+++ b/internal/hands/hands_test.go
@@ -191,7 +191,8 @@
 	})
 }
 
-// A write that is interrupted, as by a power cut, leaves the previous file. The format is compatible with older builds.
+// A write that is interrupted, as by a power cut, leaves the previous file. A file of a build without serials can be read, and older
+// builds can read the file that is written.
 func TestTornWriteLeavesThePreviousFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "lynxjunction.hands.json")
--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -137,7 +137,8 @@
 	return l.changed
 }
 
-// acceptsConns reports whether new connections are accepted: not while the link is silent, in either direction.
+// acceptsConns reports whether new connections are accepted: not while the link is silent, in either direction. After
+// Close it returns true, so that accept finds the listener closed and returns.
 func (l *Link) acceptsConns() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -28,8 +28,8 @@
 	Name       string
 	ExpectedMs float64
 	AbandonMs  float64
-	SingleUse  bool
-	Referenced bool
+	SingleUse  bool // at most one leg of an exchange may run
+	Referenced bool // legs carry a key by which endpoints drop duplicates
 }
 
 // Exchange is one exchange as its client observed it. Times are in ms from the start of the run.
@@ -37,7 +37,7 @@
 	ID           string
 	Sidecar      int
 	Product      int
-	Work         float64
+	Work         float64 // ms of a core with speed 1
 	DueAt        float64 // when it was due; latency counts from here
 	SentAt       float64 // when its last byte was sent; 0 if it never was
 	EndedAt      float64
@@ -59,7 +59,7 @@
 	NewConnection bool    // it was the first leg on its connection
 	KeyIntact     bool    // it carried the exchange's key unchanged
 	DeadlineMs    float64 // deadline that it announced to its endpoint; 0 for none
-	Work          float64
+	Work          float64 // of its exchange
 	exchange      *Exchange
 }
 
@@ -72,7 +72,8 @@
 	reason   string
 }
 
-// Book holds all records of a run. Its methods are safe for concurrent use.
+// Book holds all records of a run. Its methods are safe for concurrent use. All times that they take and return are in ms
+// from the start of the run.
 type Book struct {
 	Terms
 	mu               sync.Mutex
@@ -85,7 +86,7 @@
 	EndpointNames    []string
 	InService        []span                                          // by endpoint: listed as in service
 	ConnectionCounts []int                                           // by endpoint: connections that it accepted
-	LinkSlackMs      func(sidecar, endpoint int, at float64) float64 // delay that faults of a link may add at a time
+	LinkSlackMs      func(sidecar, endpoint int, at float64) float64 // delay that faults of a link may add at a time; infinite if it has no bound
 	Healthy          func(sidecar int, from, to float64) bool        // reports whether the endpoints, links and cores of a sidecar are healthy throughout a period
 	harnessDelays    []span                                          // when the test harness itself was stalled or had no core: events of these periods are recorded too late
 }
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -127,8 +127,8 @@
 	assert.Equal(t, 2, b.MaxConcurrentLegs(0, 1000))
 }
 
-// A sidecar that still sends after the drain is counted, whether or not it was notified; one that sends after the drain
-// ended is not.
+// A sidecar whose legs arrive later than the last notification of a drain and the grace is counted, whether or not it was
+// notified. Legs that arrive after the drain has ended for the first sidecar are not counted.
 func TestDrainSummaries(t *testing.T) {
 	b := newTestBook()
 	for s, at := range []float64{0, 50} {
--- a/internal/records/served.go
+++ b/internal/records/served.go
@@ -11,7 +11,8 @@
 )
 
 // checkServedShare looks for sidecars that served less than MinServedShare of their requests in time. Only requests
-// count for which endpoints, links and cores were healthy from when they were due until their abandon time.
+// count for which endpoints, links and cores were healthy from when they were due until their abandon time. Exchanges whose
+// client left, that are excused or during which the test harness was delayed do not count.
 func (b *Book) checkServedShare() (violations []Violation) {
 	if b.MinServedShare <= 0 {
 		return nil
--- a/internal/records/spread.go
+++ b/internal/records/spread.go
@@ -154,7 +154,7 @@
 
 // WindowFigures holds the figures of one window, for tables and charts.
 type WindowFigures struct {
-	From          float64
+	From          float64   // start of the window, in ms
 	ArrivalCounts []float64 // by endpoint
 	Service
 }
@@ -186,7 +186,7 @@
 	return counts
 }
 
-// FiguresByWindow divides a run of the given length into windows and returns the figures of each.
+// FiguresByWindow divides a run of the given length into windows, both in ms, and returns the figures of each.
 func (b *Book) FiguresByWindow(length, window float64) (all []WindowFigures) {
 	for from := 0.0; from < length; from += window {
 		all = append(all, WindowFigures{From: from, Service: b.Service(from, from+window, -1), ArrivalCounts: b.ArrivalCounts(from, from+window)})
@@ -197,12 +197,12 @@
 // DrainSummary summarizes the drain of one endpoint from one source of notification.
 type DrainSummary struct {
 	Endpoint        string
-	Source          string
-	Notified        int // sidecars
-	FirstNotifiedAt float64
-	LastNotifiedAt  float64
-	LateSenders     int // sidecars whose legs arrived after the last notification and the grace, until the drain ended for the first
-	LateLegs        int // legs that these sent in that period
+	Source          string  // how the sidecars were notified
+	Notified        int     // number of sidecars
+	FirstNotifiedAt float64 // when the first sidecar was notified, in ms
+	LastNotifiedAt  float64 // when the last sidecar was notified, in ms
+	LateSenders     int     // number of sidecars whose legs arrived after the last notification and the grace, until the drain ended for the first
+	LateLegs        int     // number of legs that these sent in that period
 }
 
 // DrainSummaries returns a summary for each drained endpoint and source of notification, in order of time.
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -21,7 +21,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Table is a table with a header row; the first column names each row.
+// Table is a table with a header row; the first column names each row. Name is the name of its file without extension.
 type Table struct {
 	Name, Title string
 	Head        []string
@@ -51,7 +51,8 @@
 	return b.String()
 }
 
-// Chart is a set of lines over a common x axis.
+// Chart is a set of lines over a common x axis. Name is the name of its file without extension, X and Y are the labels of
+// the axes.
 type Chart struct {
 	Name, Title, X, Y string
 	Lines             []Line
--- a/internal/rig/block.go
+++ b/internal/rig/block.go
@@ -48,5 +48,5 @@
 	rowListMoved            // second address of discovery for each sidecar, used after a change of configuration
 	rowEndpoint             // endpoints
 	rowFirstClass           // links to endpoints
-	maxRow           = 250  // rows are the third byte of an address, less 1
+	maxRow           = 250  // the third byte of an address is its row plus 1
 )
--- a/internal/rig/crowd.go
+++ b/internal/rig/crowd.go
@@ -26,7 +26,7 @@
 const (
 	floodMixed   floodKind = "crowd"       // every third connection sends a partial request head
 	floodPartial floodKind = "crowd-heads" // every connection sends a partial request head
-	floodDrip    floodKind = "crowd-drip"  // every connection sends a request head byte by byte and never ends it
+	floodDrip    floodKind = "crowd-drip"  // every connection sends a partial request head, goes on byte by byte and never ends it
 	floodIdle    floodKind = "crowd-kept"  // every connection asks whether the sidecar is up, gets its answer and stays idle
 )
 
--- a/internal/rig/crowd_test.go
+++ b/internal/rig/crowd_test.go
@@ -18,8 +18,8 @@
 
 // buildProgramWithoutRace builds the program without the race detector. With it a flood of 1,024 connections costs the
 // sidecar 4.4 s of processor time in the 4 s that the flood lasts, instead of 1.3 s (measured by its usage). Its core is
-// then overloaded, so that it does not owe the share of served requests. The soak checks the rules with the race
-// detector.
+// then overloaded, and the share of served requests is required only while cores are healthy. The soak checks the rules
+// with the race detector.
 func buildProgramWithoutRace(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "lynxjunction")
 	out, err := exec.Command("go", "build", "-o", path, "github.com/lynxjunction/lynxjunction/cmd/lynxjunction").CombinedOutput()
@@ -28,7 +28,7 @@
 }
 
 // runFloodScenario runs a scenario with a connection flood. It requires that no rule is broken and that the sidecars
-// serve the share of requests that they owe while all else is healthy.
+// serve minServedShare of the requests in time, since all else is healthy.
 func runFloodScenario(t *testing.T, program string, change func(s *scenario.Scenario)) {
 	s, err := scenario.Read("testdata/crowd.toml")
 	require.NoError(t, err)
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -1,5 +1,5 @@
 // Fault injection: applies the scenario's faults to endpoints, sidecars, links and discovery at their times, and records
-// which answers the sidecars do not owe because of them.
+// when a sidecar need not answer because of them.
 
 package rig
 
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,7 +1,7 @@
 // Package rig runs a scenario against real sidecar processes on loopback. It starts the processes, sends them requests as
 // their clients, acts as their endpoints and as discovery, injects the scenario's faults and terminates the processes.
 // The outcome is judged from the rig's own records of clients and endpoints (internal/records), never from the sidecars'
-// counters. The rig executes no program but the one it is given.
+// counters. The rig executes no programs but those it is given.
 package rig
 
 import (
@@ -79,7 +79,7 @@
 
 	mu         sync.Mutex
 	endpoints  []*endpoint
-	current    map[string]*endpoint    // by the name of the scenario's place; replacements take over the name
+	current    map[string]*endpoint    // by the name of the scenario's node; a replacement takes the entry of its predecessor
 	sidecars   []*process              // the serving process of each sidecar; nil while it is down
 	processes  []*process              // all that were started
 	clients    []*client               // by sidecar
@@ -286,12 +286,12 @@
 	}
 }
 
-// containsPlace reports whether a list of places has the one with the given number.
+// containsPlace reports whether a list of nodes has the one with the given number.
 func containsPlace(places []scenario.Node, number int) bool {
 	return slices.ContainsFunc(places, func(p scenario.Node) bool { return p.Number == number })
 }
 
-// hasLinkFault reports whether the scenario has a fault on a sidecar's link of the given kind (the fault's Over).
+// hasLinkFault reports whether the scenario has a fault on a sidecar's link of the given kind (the fault's Link).
 func (r *Rig) hasLinkFault(over string, sidecar int) bool {
 	for f := range r.scenario.Faults {
 		if sidecars, _ := r.scenario.FaultTargets(f); r.scenario.Faults[f].Link == over && containsPlace(sidecars, sidecar) {
@@ -302,7 +302,7 @@
 }
 
 // linkFaultAppliesTo reports whether the links of fault f lead to an endpoint. A fault that names endpoints does not
-// apply to replacements, which are not places of the scenario.
+// apply to replacements, which are not nodes of the scenario.
 func (r *Rig) linkFaultAppliesTo(f int, e *endpoint) bool {
 	_, targets := r.scenario.FaultTargets(f)
 	return len(r.scenario.Faults[f].RemoteEndpoints) == 0 || e.Name == r.scenario.EndpointNodes()[e.Node.Number].Name && containsPlace(targets, e.Node.Number)
@@ -371,7 +371,7 @@
 }
 
 // linkSlackMs returns by how many ms a leg may arrive at its endpoint later than it was sent, because of faults on its
-// link or a stopped process.
+// link or a stopped process. The delay is infinite unless the fault is a delay or jitter, whose size bounds it.
 func (r *Rig) linkSlackMs(sidecar, number int, at float64) (ms float64) {
 	for f := range r.scenario.Faults {
 		fault := &r.scenario.Faults[f]
--- a/internal/rig/watch.go
+++ b/internal/rig/watch.go
@@ -216,7 +216,7 @@
 }
 
 // scheduleNotifiedAfterSilence makes the changes that a silent watch does not send count as notified notifiedAfterReached
-// after the last write to it, by when the sidecar has to have given it up.
+// after the last write to it, by when the sidecar must have given the watch up.
 func (w *watch) scheduleNotifiedAfterSilence() {
 	at := w.lastWriteMs + float64(notifiedAfterReached.Milliseconds())
 	w.server.scheduleNotified(w.sidecar, w.after, time.Duration(max(at-w.server.rig.now(), 0)*float64(time.Millisecond)), "a watch was silent beyond its time limit")
--- a/internal/rig/watch_test.go
+++ b/internal/rig/watch_test.go
@@ -16,7 +16,7 @@
 	"github.com/lynxjunction/lynxjunction/internal/scenario"
 )
 
-// listServerTest is a stand-in of discovery with two endpoints in service. The test plays its one sidecar.
+// listServerTest is a stand-in of discovery with two endpoints in service. The test calls it as its only sidecar.
 type listServerTest struct {
 	*testing.T
 	rig *Rig
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -48,13 +48,15 @@
 	Cores    float64 `toml:"cores"`
 	MemoryMB int     `toml:"memory_mb"`
 	Sockets  int     `toml:"sockets"`
-	MaxLegs  int     `toml:"max_legs"`
+	// MaxLegs is the limit of legs of one exchange.
+	MaxLegs int `toml:"max_legs"`
 	// ExtraFree and ExtraRatio are the budget of legs beyond the first of each exchange: within BudgetWindow, ExtraFree
 	// legs and ExtraRatio legs for each exchange that was accepted.
 	ExtraFree  float64 `toml:"extra_free"`
 	ExtraRatio float64 `toml:"extra_ratio"`
 	// BudgetWindow is the window of the budget; 0 for no budget.
-	BudgetWindow   float64 `toml:"look_back_s"`
+	BudgetWindow float64 `toml:"look_back_s"`
+	// CrossZonePrice is the price of a leg to another zone.
 	CrossZonePrice float64 `toml:"cross_zone_price"`
 	// AskWithin is the time after which the sidecars are assumed to be notified of a change of the list; 4 by default.
 	AskWithin float64 `toml:"ask_within_s"`
@@ -85,8 +87,8 @@
 	PauseLength   float64 `toml:"pause_ms"`
 	// ErrorShare is the share of requests that end with an error.
 	ErrorShare float64 `toml:"errors"`
-	// OverloadAt is the number of requests held at once from which an endpoint is slower by OverloadSlowdown, until it
-	// has been without requests for RecoveryTime; 0 for never.
+	// OverloadAt is the number of requests held at once from which an endpoint is slower by the factor OverloadSlowdown,
+	// until it has been without requests for RecoveryTime; 0 for never.
 	OverloadAt       int     `toml:"crowd_at"`
 	OverloadSlowdown float64 `toml:"crowd_slow"`
 	RecoveryTime     float64 `toml:"rest_s"`
@@ -107,10 +109,13 @@
 type Product struct {
 	Name string `toml:"name"`
 	// Effect is replayable, referenced or single-use.
-	Effect       string  `toml:"effect"`
-	Share        float64 `toml:"share"`
+	Effect string `toml:"effect"`
+	// Share is the product's share of the exchanges, relative to the sum of all shares.
+	Share float64 `toml:"share"`
+	// ExpectedTime is the time within which users expect the answer.
 	ExpectedTime float64 `toml:"expected_ms"`
-	AbandonTime  float64 `toml:"abandon_ms"`
+	// AbandonTime is the time after which clients abandon the exchange.
+	AbandonTime float64 `toml:"abandon_ms"`
 	// Work is the mean work of an exchange.
 	Work float64 `toml:"work_ms"`
 	// Distribution is the distribution of the work: exponential or fixed.
@@ -122,7 +127,8 @@
 	At float64 `toml:"at_s"`
 	// Duration is 0 for faults that have no duration, such as a restart.
 	Duration float64 `toml:"for_s"`
-	Kind     string  `toml:"what"`
+	// Kind is a key of faultSpecs.
+	Kind string `toml:"what"`
 	// Targets are names or patterns of endpoints or sidecars: e3, e*, s0, s*, zone:a.
 	Targets []string `toml:"who"`
 	// Share is the share of the targets that is chosen, by the seed; 0 for all.
@@ -133,8 +139,9 @@
 	// Link is the kind of the link, for a fault of a link: upstream, list, clients or consoles.
 	Link string `toml:"over"`
 	// Direction is the direction that a fault of a link affects: there or back; both if absent.
-	Direction string  `toml:"way"`
-	Size      float64 `toml:"size"`
+	Direction string `toml:"way"`
+	// Size is the severity of the fault; its unit and range depend on the kind (see faultSpecs).
+	Size float64 `toml:"size"`
 	// Stagger is the time between the beginnings of the fault at two successive targets.
 	Stagger float64 `toml:"step_s"`
 }
@@ -148,7 +155,8 @@
 	lasts bool
 	// minSize and maxSize are the range of the size; both are 0 for a fault that has no size.
 	minSize, maxSize float64
-	sizeUnit         string
+	// sizeUnit is the unit or meaning of the size, for error messages.
+	sizeUnit string
 }{
 	"slow":          {'e', true, 1.01, 1000, "times slower"},
 	"hang":          {'e', true, 0, 0, ""},
@@ -369,7 +377,7 @@
 	return key, message
 }
 
-// validateFault reports the errors in one fault by fail. The prefix is the fault's part of the key.
+// validateFault calls fail for each error in a fault. The prefix is the fault's part of the key.
 func (s *Scenario) validateFault(f *Fault, prefix string, fail func(string, string, ...any), within func(string, float64, float64, float64)) {
 	spec, ok := faultSpecs[f.Kind]
 	if !ok {
--- a/internal/sidecar/attempt_error.go
+++ b/internal/sidecar/attempt_error.go
@@ -17,9 +17,9 @@
 const (
 	notDialled legStage = iota
 	dialling
-	writing // in this stage and those before, the request's last byte was not written: the endpoint never started it
-	written
-	answered
+	writing  // in this stage and those before, the request's last byte was not written: the endpoint never started it
+	written  // the whole request was written: it may have run
+	answered // at least part of an answer was read
 )
 
 // legError is why a leg did not succeed, and the stage in which it failed.
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -120,7 +120,8 @@
 	all.Wait()
 }
 
-// Each exchange is counted once, under its class and by its outcome, and invalid requests change no class's counters.
+// Each exchange is counted once, under its class and by its outcome, and invalid requests change no class's counters. The count
+// of legs equals that of the requests which the endpoint received.
 func TestStatsAgreeWithTheStubEndpoint(t *testing.T) {
 	release, open := make(chan bool), make(chan bool, 1)
 	s := newStubEndpoint(t, func(c net.Conn, q *http.Request) bool {
--- a/internal/sidecar/counters.go
+++ b/internal/sidecar/counters.go
@@ -22,8 +22,8 @@
 	failed            atomic.Int64                         // exchanges answered with any other status
 	clientsLeft       atomic.Int64                         // clients that disconnected before the end of their answer
 	overdue           atomic.Int64                         // exchanges answered by their time limit, without a decision of the module
-	rejected          atomic.Int64                         // requests answered 503 without an exchange, for lack of room
-	badInput          atomic.Int64                         // requests that are not valid
+	rejected          atomic.Int64                         // requests answered 503 without an exchange, for lack of capacity or time
+	badInput          atomic.Int64                         // requests that are not valid, or repeat the id of another one
 	panics            atomic.Int64                         // panics that were recovered
 	clientsShed       atomic.Int64                         // client connections closed to free their descriptors
 	givenUpByReason   [logic.QueueTimeout + 1]atomic.Int64 // exchanges that the module shed or failed
@@ -46,7 +46,7 @@
 	longestOutageMs   atomic.Int64                         // longest outage of discovery that has ended
 	parallelListCalls atomic.Int64                         // calls to discovery made while another one was open
 	listCallsRefused  atomic.Int64                         // calls refused by discovery or its machine
-	leaseSuspensions  atomic.Int64                         // times that the end of the lease on the list stopped all legs
+	leaseSuspensions  atomic.Int64                         // times that the end of the lease on the list kept legs from starting
 	leaseSuspendedMs  atomic.Int64                         // total length of these suspensions
 	acceptErrors      atomic.Int64                         // errors of accept on a listening socket
 	listCallsFailed   [callStages]atomic.Int64             // calls without a list, by the stage in which they ended
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -363,8 +363,8 @@
 	assert.GreaterOrEqual(t, time.Since(began), partialLineTimeout)
 }
 
-// Messages of discovery that arrive out of order must not undo a drain. A discovery that restarts its versions is asked for
-// the full list.
+// Messages of discovery that arrive out of order must not undo a drain, while a drain in an older message still applies. A
+// discovery that restarts its versions is asked for the full list, see TestListVersionsMayRestart.
 func TestOutdatedListsDoNotUndoDrains(t *testing.T) {
 	at := "127.0.0.1:1"
 	up := func(id string) string { return entryText(id, at, "in_service") }
@@ -683,7 +683,7 @@
 		r, fault := u.run(newTestLeg(u, s.Addr().String(), 5*time.Second))
 		require.Nil(t, fault)
 		assert.Equal(t, fmt.Sprint(want), string(r.body))
-		// The result does not depend on it: without a rest the next request would take the connection now.
+		// The result does not depend on this pause: without a rest the next request would take the connection at once.
 		time.Sleep(5 * time.Millisecond)
 	}
 	assert.EqualValues(t, 3, s.connections.Load())
@@ -911,7 +911,8 @@
 }
 
 // A product that is bound to a zone and a kind of machine is sent nowhere else, however the list changes; other products are
-// sent anywhere meanwhile. Reading the start file again does not lift the constraint.
+// sent anywhere meanwhile. A reload of the start file does not lift the constraint either, since it applies only the address of
+// discovery; that is not checked here.
 func TestPlacementConstraintsAreKept(t *testing.T) {
 	right, other, wrong := newStubEndpoint(t, respondWith(okResponse, true)), newStubEndpoint(t, respondWith(okResponse, true)), newStubEndpoint(t, respondWith(okResponse, true))
 	rightAddr, otherAddr, wrongAddr := right.Addr().String(), other.Addr().String(), wrong.Addr().String()
--- a/internal/sidecar/descriptors.go
+++ b/internal/sidecar/descriptors.go
@@ -86,8 +86,8 @@
 }
 
 // shareWith adapts the limit to the other processes of an upgrade, which hold othersHold connections (below 0: there is no
-// other process). Each process may use half of what none of them holds. Connections beyond the new limit are evicted, silent
-// and idle ones first.
+// other process). Each process may use what it holds, up to half of the whole, and half of what none of them holds.
+// Connections beyond the new limit are evicted: silent clients, idle connections to endpoints, then idle clients.
 func (s *descriptorLimiter) shareWith(othersHold int) {
 	s.mu.Lock()
 	s.usable = s.usableAlone
--- a/internal/sidecar/descriptors_test.go
+++ b/internal/sidecar/descriptors_test.go
@@ -86,7 +86,7 @@
 }
 
 // The longer the accept queue, the shorter the silences that are tolerated. With an empty queue the maximum applies to new
-// connections, and incomplete requests are not evicted.
+// connections, idle connections may be evicted at once, and incomplete requests are not evicted.
 func TestSilenceLimitsShrinkWithTheAcceptQueue(t *testing.T) {
 	s := newDescriptorLimiter(256, &Counters{})
 	queued := 0
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -56,7 +56,7 @@
 	maxCallInterval = notifiedAfterReached / 5
 )
 
-// firstListTimeout returns how long a call waits for its first list: logic.AnswerPatience, or firstListSilences times the
+// firstListTimeout returns how long a call waits for its first list: logic.AnswerTimeout, or firstListSilences times the
 // silence timeout if that is less.
 func (d *discoveryClient) firstListTimeout() time.Duration {
 	if injectedFault == "impatient" {
@@ -78,7 +78,7 @@
 	running bool // in service
 	gone    bool // terminated
 	weight  float64
-	started logic.Millis
+	started logic.Millis // when the endpoint started, by the list
 }
 
 // noVersion stands for no list. It is not 0, which may well be the version of the first list: if every process of a
@@ -420,8 +420,9 @@
 	return 0
 }
 
-// startCall makes one more call to the discovery in force, of which at most maxOpen are open at a time. It does nothing
-// and returns false while a watch is open: the module's timer may have been set before the list came.
+// startCall makes one more call to the discovery in force, of which at most maxOpen are open at a time: beyond that it
+// cancels the newest one. It does nothing and returns false while a watch is open: the module's timer may have been set
+// before the list came.
 func (d *discoveryClient) startCall(ctx context.Context, maxOpen int, post func(event)) bool {
 	if d.current.isOpen() {
 		return false
--- a/internal/sidecar/lease_test.go
+++ b/internal/sidecar/lease_test.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	leaseGrace           = 500 * time.Millisecond
-	leaseSlack           = 50 * time.Millisecond
-	leaseObservation     = 2 * time.Second       // after a change counts as notified: requests to the endpoint are looked for until then
-	leaseRequestInterval = 20 * time.Millisecond // between the starts of two requests
-	lastChunk            = "0\r\n\r\n"           // the end of a chunked answer
+	leaseGrace           = 500 * time.Millisecond // drain grace of the sidecar under test
+	leaseSlack           = 50 * time.Millisecond  // tolerance for times measured at sockets
+	leaseObservation     = 2 * time.Second        // after a change counts as notified: requests to the endpoint are looked for until then
+	leaseRequestInterval = 20 * time.Millisecond  // between the starts of two requests
+	lastChunk            = "0\r\n\r\n"            // the end of a chunked answer
 )
 
 // leaseTest is a sidecar under load that knows one endpoint, and a discovery that answers each call by a script.
@@ -200,6 +200,7 @@
 	l.assertNoLateRequest((<-listedAt).Add(notifiedAfterReached), leaseObservation)
 }
 
+// Requests that wait for a list during a suspension must be sent once it comes, and none of their legs may be held back then.
 func TestRequestsThatWaitForAListAreSentWhenItComes(t *testing.T) {
 	t.Parallel()
 	ended, answered := make(chan time.Time, 1), make(chan int64, 1)
@@ -220,6 +221,7 @@
 	assert.Equal(t, <-answered, l.server.counters.legsByOutcome[logic.NotSent].Load(), "legs held back before and after the list; answers %v", l.statuses)
 }
 
+// The same with an event loop that is held up for 20 ms by each change of the state which siblings share, such as a new list.
 func TestRequestsThatWaitForAListAreSentWhenItComesToASlowLoop(t *testing.T) {
 	t.Parallel()
 	ended, answered := make(chan time.Time, 1), make(chan int64, 1)
--- a/internal/sidecar/list_events.go
+++ b/internal/sidecar/list_events.go
@@ -17,8 +17,8 @@
 	// listReceived is a whole list or a change of it.
 	listReceived struct {
 		endpointList
-		call     int // number of the call that brought it, fromPusher or fromSibling
-		fromDisk bool
+		call     int  // number of the call that brought it, fromPusher or fromSibling
+		fromDisk bool // the list known at the start, of the start file or of the process before this one
 	}
 	// discoveryCallEnded is the end of a call, before or after its first list.
 	discoveryCallEnded struct {
@@ -34,7 +34,7 @@
 	discoveryChanged struct{ addr string }
 )
 
-// happen applies a list or a change. Of one that is older than the current list only drains and removals are applied:
+// handle applies a list or a change. Of one that is older than the current list only drains and removals are applied:
 // an older entry must not revoke a drain of which the sidecar was notified. A new watch that starts with an older
 // change belongs to a service that has restarted its numbering, and is asked for the whole list; a whole list is
 // applied as it is.
@@ -172,7 +172,7 @@
 		return // a call that was superseded
 	}
 	l.counters.listCallsEnded.Add(1)
-	// Discovery may fail for a whole fleet for minutes: one line per outage is logged at info level, not one per call.
+	// While discovery fails for a whole fleet, one line per outage is logged at info level, not one per call.
 	level := zap.InfoLevel
 	if len(l.list.outage.failed) > 0 {
 		level = zap.DebugLevel
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -71,7 +71,8 @@
 type (
 	// arrival is a new exchange.
 	arrival struct{ x *exchange }
-	// clientLeft says that the client closed its connection before its answer.
+	// clientLeft says that the client closed its connection before its answer. It also ends an exchange whose request broke
+	// off or whose handler panicked.
 	clientLeft struct{ x *exchange }
 	// legEnded says that a leg is over, with its answer or its error.
 	legEnded struct {
@@ -150,7 +151,7 @@
 	finishedRing   [maxFinishedIDs]logic.ExchangeID // the ids in finishedIDs, in the order in which they were added
 	finishedNext   int                              // position in finishedRing of the oldest id, the next to be replaced
 	unanswered     atomic.Int64                     // exchanges without an answer
-	listLoaded     atomic.Bool                      // a list of endpoints is known, from discovery or from the start file
+	listLoaded     atomic.Bool                      // a list of endpoints is known, from discovery, the start file or another process
 	watchHeard     atomic.Bool                      // a watch has delivered a list
 	suspended      atomic.Bool                      // the lease on the list has expired: no leg may start
 	upstream       *upstream
@@ -174,8 +175,8 @@
 	ctx            context.Context
 }
 
-// newLoop starts the module, which may ask for timers and for the watch at once. The list known from disk is queued before
-// any other event.
+// newLoop starts the module, which may ask for timers and for the watch at once. The list known at the start (of the start
+// file or of the process before this one), if any, is queued before any other event.
 func newLoop(ctx context.Context, terms logic.Terms, known *endpointList, up *upstream, list *discoveryClient, drains *hands.DrainStore,
 	counters *Counters, log *zap.Logger) *loop {
 	l := &loop{
@@ -403,14 +404,14 @@
 }
 
 // answerOverdue answers an exchange that has no answer when its client gives up, so that no exchange is ever lost. It runs
-// after the grace, so that a leg's time-out normally comes first: the module would not hear of the time-out of an exchange
-// that it has been told to drop.
+// after the grace, so that a leg's time-out is normally handled first: after ClientLeft the module would not learn of it
+// any more.
 func (l *loop) answerOverdue(x *exchange) {
 	if x.answered {
 		return
 	}
 	if x.bodyPending && x.outstandingLegs > 0 {
-		// The client's timeout does not run yet; the minimum body rate bounds the wait.
+		// The client's timeout does not run yet; the minimum body rate bounds the wait. Check again in 500 ms.
 		l.addTimer(timer{at: l.now + l.grace + 500, deadlineOf: x})
 		return
 	}
@@ -632,7 +633,7 @@
 	}
 }
 
-// Sets a timer of the module.
+// SetTimer sets a timer of the module.
 func (l *loop) SetTimer(after logic.Millis, t logic.TimerID) {
 	l.addTimer(timer{at: l.now + after, id: t})
 }
@@ -656,7 +657,7 @@
 	l.log.Debug("calling discovery for the list", zap.String("addr", l.list.addr), zap.Int("call", l.list.lastCall), zap.Int64("after", l.list.version))
 }
 
-// Logs a line of the module.
+// Note logs a line of the module.
 func (l *loop) Note(line string) { l.log.Info(line) }
 
 // ---- timers and exchanges
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -27,6 +27,7 @@
 	follow(ctx context.Context, each func(endpointList))
 }
 
+// maxMessageBytes bounds a received message; a longer one is dropped.
 const maxMessageBytes = 256
 
 // messageReceived is a message from another sidecar.
@@ -119,7 +120,7 @@
 	l.module.PeerMessage(e.from, e.text)
 }
 
-// Tell sends a message of the module to another sidecar, if this build can carry messages.
+// NotifyPeer sends a message of the module to another sidecar, if this build can carry messages.
 func (l *loop) NotifyPeer(to logic.PeerID, text []byte) {
 	if l.messages != nil {
 		l.counters.messagesSent.Add(1)
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -174,7 +174,7 @@
 }
 
 // parseTimeout parses the one value of Request-Timeout: a decimal number with the unit m (milliseconds) or u (microseconds).
-// It returns 0 for anything else.
+// It returns 0 for anything else, and for a time that is not above 0 or exceeds maxClientTimeoutMs.
 func parseTimeout(values []string) logic.Millis {
 	if len(values) != 1 || len(values[0]) < 2 {
 		return 0
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -47,8 +47,8 @@
 	shutdownBy           atomic.Pointer[time.Time] // set at shutdown: the latest deadline; no request is accepted after it
 	stalls               stallDetector
 	bodyBytes            atomic.Int64 // buffered for the bodies in progress
-	maxBodyBytesTotal    int64
-	maxBufferedBodyBytes int64 // a longer request is streamed
+	maxBodyBytesTotal    int64        // limit of bodyBytes, beyond which requests are refused
+	maxBufferedBodyBytes int64        // a longer request is streamed
 }
 
 // stallDetector notices when the whole process stalled, because it was stopped or had no CPU: what is read just after a
@@ -56,10 +56,11 @@
 // the loop started.
 type stallDetector struct {
 	lastTick    atomic.Int64
-	stallEnd    atomic.Int64
-	stallLength atomic.Int64
+	stallEnd    atomic.Int64 // of the last stall; 0 for none yet
+	stallLength atomic.Int64 // of the last stall, from the tick before it to its end
 }
 
+// stallTickInterval is the time between two ticks of a process that is not stalled.
 const stallTickInterval = 20 * time.Millisecond
 
 // tick must be called every stallTickInterval. It reports whether this call came more than twice that after the last one,
--- a/internal/sidecar/sibling.go
+++ b/internal/sidecar/sibling.go
@@ -154,8 +154,8 @@
 type siblingUpdate struct{ sharedState }
 
 // handle merges the sibling's state. The sibling's list replaces the own one if the sibling has a watch and this process has none, or
-// if neither has one and the sibling's list is later. Otherwise the own watch decides, and only those changes are applied that must
-// not wait for it: endpoints that drain, are gone or have restarted (see urgentChanges).
+// if neither has one and the sibling's list is later; both must use the same discovery. Otherwise the own watch decides, and only
+// those changes are applied that must not wait for it: endpoints that drain, are gone or have restarted (see urgentChanges).
 func (e siblingUpdate) handle(l *loop) {
 	l.operatorDrains.MergePending(e.pendingDrains)
 	if e.reloaded > l.list.configuredAt {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -141,7 +141,7 @@
 		name, request string
 		script        func(net.Conn, *http.Request) bool
 		status        int
-		legs          int64 // maximum
+		legs          int64 // maximum; at least one is always sent
 	}{
 		{"succeeded", requestText("1", "GET", "look/x?y=%20z", ""), respondWith(okResponse, true), 200, 1},
 		{"full endpoint, nothing ran", requestText("1", "POST", "buy/x", "Content-Length: 0\r\n"), full, 503, 3},
@@ -288,8 +288,8 @@
 }
 
 // Over the descriptor limit a client's request is still read and answered 503 with a time to retry; none stays unread. Before
-// that, connections are closed in this order: silent ones, idle ones of clients, idle ones to endpoints, incomplete requests;
-// never one with an exchange in progress.
+// that, connections are closed in this order: silent connections, idle connections of clients, idle connections to endpoints,
+// connections with incomplete requests; never a connection with an exchange in progress.
 func TestEvictionWhenDescriptorsRunOut(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	slow := newStubEndpoint(t, neverAnswer)
@@ -364,8 +364,8 @@
 	assert.Zero(t, r.server.counters.clientsLeft.Load(), "no exchange in progress was cut off")
 }
 
-// An application may hold a third of the descriptors. If it leaves that many connections idle, enough of them are closed with
-// their answers that its further requests find descriptors.
+// An application may hold a third of the descriptors. If it leaves that many connections idle, those beyond a sixth of the
+// descriptors are closed with their answers, so that its further requests find descriptors.
 func TestKeptAliveConnectionsAreLimited(t *testing.T) {
 	r := startSidecar(t, listOf(newStubEndpoint(t, respondWith(okResponse, true))), func(s *Config) { s.Sockets = 96 })
 	var first net.Conn
@@ -460,7 +460,8 @@
 	assert.Equal(t, 400, got.StatusCode)
 }
 
-// A request that waited unread while the process was stalled has less time left than its timeout states.
+// A request that waited unread while the process was stalled has less time left than its timeout states. The stall detector
+// bounds that wait by the lateness of its ticks. After a stall, legs also wait, so that discovery's messages are read first.
 func TestStallDetector(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -254,6 +254,7 @@
 	receivedBytes int64
 }
 
+// Read reads from the client until the time by which more than the bytes received so far is due at the minimum rate.
 func (p *minRateReader) Read(b []byte) (int, error) {
 	p.control.SetReadDeadline(p.startBy.Add(time.Duration(float64(p.receivedBytes) / minBodyBytesPerSecond * float64(time.Second))))
 	n, err := p.source.Read(b)
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// An answer that is streamed to the client is bounded only by the stall time-out of streams, not by the leg's time-out nor by the
-// shorter pause that a buffered answer may have.
+// An answer that is streamed to the client is bounded only by the stall timeout of streams, neither by the leg's timeout nor by
+// the shorter pause that a buffered answer may have.
 func TestStreamedAnswerOutlivesTheLegTimeout(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	long := strings.Repeat("x", maxBufferedBodyBytes)
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -19,7 +19,7 @@
 )
 
 // acceptErrnos are the errors that accept(2) may return on Linux: pending network errors of a new connection, and ENOBUFS and
-// ENOMEM while socket memory is short for a moment. Net/http ends the server at every error that Go does not consider
+// ENOMEM while socket memory is short for a moment. The server of net/http ends at every error that Go does not consider
 // temporary, and with it the process and all its exchanges; found by reading accept(2) and net/http.
 var acceptErrnos = []syscall.Errno{
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
--- a/internal/sidecar/upgrade.go
+++ b/internal/sidecar/upgrade.go
@@ -1,8 +1,8 @@
 // This file owns process replacement (upgrade): for a while two processes, or three if one upgrade follows another, form one
 // sidecar. It owns the Unix socket connections between them: the handover from the predecessor to the successor (listening
 // socket, endpoint list, operator drains), and the updates that each sends to the other until one of them is gone.
-// Invariants: a sidecar with a single process runs without any of this, and a process that does not answer must not keep the
-// other from starting or shutting down.
+// Invariants: nothing here stops a sidecar that consists of a single process, and a process that does not answer does not keep
+// the other from starting or shutting down.
 package sidecar
 
 import (
@@ -34,15 +34,16 @@
 	updateInterval = 50 * time.Millisecond
 	// siblingTimeout is the silence after which a sibling is considered hung.
 	siblingTimeout = 20 * updateInterval
-	// updatePauseFactor times the time that an update took is the pause after it: long lists that change continuously must
-	// not occupy a core.
+	// updatePauseFactor is the pause after an update as a multiple of the time that sending the update took: long lists that
+	// change continuously must not occupy a core.
 	updatePauseFactor = 4
 	// maxLineBytes bounds a line received from a sibling.
 	maxLineBytes = maxListBytes + hands.MaxFileBytes
 	// maxTransferWait bounds the new process's wait for the predecessor's transfers before its health check succeeds, which
 	// is due within 6 s.
 	maxTransferWait = 5400 * time.Millisecond
-	// maxOwnWatchWait bounds its wait for the first update of its own watch, before the same health check.
+	// maxOwnWatchWait bounds the new process's wait for the first update of its own watch before it accepts clients and its
+	// health check succeeds, which is due within 6 s.
 	maxOwnWatchWait = 5 * time.Second
 	// maxSocketNameBytes is the longest path that is used as a Unix socket's name; the kernel's limit is slightly above it.
 	maxSocketNameBytes = 100
@@ -272,8 +273,8 @@
 	}()
 }
 
-// startAccepting accepts clients from now on, whether or not the endpoint list is confirmed, and tells the module that this process
-// has taken them over.
+// startAccepting accepts clients from now on, whether or not the endpoint list is confirmed, and notifies the module that this
+// process has taken them over.
 func (p *processGroup) startAccepting() {
 	p.awaitingList.Store(false)
 	p.server.loop.postUrgent(loopCall(func(l *loop) { l.module.TookOver(l.list.siblingWatches) }))
@@ -516,7 +517,7 @@
 		return err
 	}
 	defer release()
-	os.Remove(name) // left by a process that is gone; a running predecessor has already handed over to this process
+	os.Remove(name) // left by a process that is gone or, if the predecessor runs, has already handed over to this process
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
 	if err != nil {
 		return err
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	maxBufferedBodyBytes    = 64 << 10 // an answer with a longer body is forwarded while it is received
+	maxBufferedBodyBytes    = 64 << 10 // an answer with a longer body is forwarded while it is received, as is a request of unknown length
 	maxHeadBytes            = 16 << 10 // of a request or an answer
 	answerBufferBytes       = 8 << 10  // read buffer; an answer whose head does not fit is malformed
 	maxInformationalAnswers = 5        // 1xx answers before the final one
@@ -34,7 +34,7 @@
 	// repeatWindowShare is the part of the time for which endpoints recognise a repeat in which a leg may start. The
 	// rest is left for its transmission.
 	repeatWindowShare = 0.95
-	// maxUpdateWaits bounds the waits, each of paceBeat/4, in which a process that was stalled can read its updates.
+	// maxUpdateWaits bounds the waits, each of stallTickInterval/4, in which a process that was stalled can read its updates.
 	// Together they are as long as a stall counts as recent.
 	maxUpdateWaits = 8
 	// defaultStallTimeout bounds the time between two parts of an answer if the settings have no connect timeout.
@@ -176,7 +176,7 @@
 
 	counters      *Counters
 	answerStarted bool        // at least one byte of the answer was received
-	forwarding    atomic.Bool // the answer is being forwarded: flowStall between two reads is its only time limit
+	forwarding    atomic.Bool // the answer is being forwarded: streamStallTimeout between two reads is its only time limit
 }
 
 // Read limits the pauses within an answer that has started. A malformed answer may have a wrong length or a head
@@ -468,7 +468,7 @@
 	stop := context.AfterFunc(g.ctx, func() { k.conn.SetDeadline(time.Unix(1, 0)) })
 	// A drain may have been received while the process was stalled, so the goroutine that reads it gets time to run
 	// first. The number of waits is bounded: on a small share of a core one stall follows the other, and no leg would
-	// ever start. After these waits the update has been read.
+	// ever start. After these waits that goroutine has had time to run.
 	for n := 0; n < maxUpdateWaits && u.updatesPending != nil && u.updatesPending() && g.ctx.Err() == nil && time.Now().Before(g.deadline); n++ {
 		time.Sleep(stallTickInterval / 4)
 	}
@@ -496,7 +496,7 @@
 	}
 	if n := len(g.request.body); n > copyChunkBytes {
 		// An endpoint that answers before the last byte has not read the whole request. The last byte is held back
-		// until it is certain that no answer was sent early.
+		// until a check has shown that no early answer is there.
 		parts = net.Buffers{parts[0], parts[1], g.request.body[:n-1]}
 		if _, err := parts.WriteTo(k.conn); err != nil {
 			stop()
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -214,6 +214,8 @@
 	}
 }
 
+// A leg that fails before its request is written completely must end with an outcome which says that it did not run, and the
+// endpoint must not receive a request.
 func TestLegsThatCannotHaveRun(t *testing.T) {
 	s := newStubEndpoint(t, respondWith(okResponse, true))
 	for _, c := range []struct {
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -23,9 +23,9 @@
 	minEndpoints           = 5
 	maxEndpoints           = 12
 	fleetRequestsPerSecond = 150.0 // divided by the number of sidecars
-	workMs                 = 8.0
-	lastFaultSeconds       = 11.0 // the effects of later faults would not show before the end
-	floodSocketLimit       = 256  // limit of each sidecar, in scenarios with a connection flood
+	workMs                 = 8.0   // mean work of a request
+	lastFaultSeconds       = 11.0  // the effects of later faults would not show before the end
+	floodSocketLimit       = 256   // sockets that each sidecar may open, in scenarios with a connection flood
 )
 
 // Draw generates the scenario of a seed.
@@ -179,9 +179,9 @@
 	d.addFault(scenario.Fault{Kind: "crowd", At: d.faultTime(6), Duration: d.uniform(2, 6), Targets: d.pickNames("s", min(d.scenario.Fleet.Sidecars, 3), 1), Size: floodSocketLimit * 1.2})
 }
 
-// busyDiscovery leaves discovery little spare capacity for the whole scenario, adds an outage, faulty answers or a move
-// of all sidecars to another discovery, and has endpoints drain meanwhile. One call of each sidecar still fits into the
-// time within which sidecars must know a change.
+// busyDiscovery leaves discovery little spare capacity for the whole scenario, adds an outage, a short outage with faulty
+// answers or a switch of all sidecars to discovery's second address, and has endpoints drain meanwhile. One call of each
+// sidecar still fits into the time within which sidecars must be notified of a change.
 func (d *generator) busyDiscovery() {
 	roundSeconds, at := d.uniform(3.5, 4.8), d.faultTime(2)
 	switch d.IntN(3) {
@@ -207,8 +207,8 @@
 	}
 }
 
-// discoveryFaults makes discovery unavailable, corrupts its answers and moves sidecars to another discovery, and has
-// endpoints drain around these times.
+// discoveryFaults makes discovery unavailable, corrupts its answers and switches sidecars between its two addresses, and
+// has endpoints drain around these times.
 func (d *generator) discoveryFaults() {
 	at := d.faultTime(3)
 	if d.withProbability(0.6) {
--- a/internal/soak/profiles.go
+++ b/internal/soak/profiles.go
@@ -115,7 +115,8 @@
 }
 
 // fitDiscoveryRound scales the work of a discovery call down, so that discovery also has capacity for the calls of new
-// processes. Otherwise the calls of all processes would not fit into the time within which sidecars must know a change.
+// processes. Otherwise the calls of all processes would not fit into the time within which sidecars must be notified of a
+// change.
 func (d *generator) fitDiscoveryRound() {
 	sidecars := float64(d.scenario.Fleet.Sidecars)
 	calls := sidecars
@@ -137,7 +138,7 @@
 func (d *generator) slowDiscovery() {
 	const (
 		watchesOpenAt = 2.5 // seconds until every first call is answered: sidecars spread these calls over 2 s
-		lastDrain     = 5.5
+		lastDrain     = 5.5 // seconds after watchesOpenAt; drains begin at least 0.5 s earlier
 	)
 	answerSeconds := d.uniform(3, 4)
 	d.addFault(scenario.Fault{Kind: "list-busy", At: watchesOpenAt, Duration: lengthSeconds - watchesOpenAt - 0.5, Size: roundToHundredth(answerSeconds * float64(d.scenario.Fleet.Sidecars))})
@@ -161,7 +162,7 @@
 )
 
 // listChanges has endpoints drain one after another while discovery has little spare capacity and ends watches instead
-// of sending the change. It adds consecutive faulty answers, an outage, moves to another discovery and handovers.
+// of sending the change. It adds consecutive faulty answers, an outage, switches of discovery's address and handovers.
 func (d *generator) listChanges() {
 	f := &d.scenario.Fleet
 	if f.Sidecars <= maxSidecars {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -20,10 +20,10 @@
 // Runner runs generated scenarios with one program.
 type Runner struct {
 	Program  string
-	Env      []string // additional environment variables of the program
-	Large    bool     // fleets of up to 100 sidecars
-	Profile  string   // one of Profiles; General if empty
-	Progress func(text string)
+	Env      []string          // additional environment variables of the program
+	Large    bool              // fleets of up to 100 sidecars
+	Profile  string            // one of Profiles; General if empty
+	Progress func(text string) // called for each fault that Reduce removes; may be nil
 }
 
 // Result is the result of the run of one seed. If the scenario could not be run, Err is set and the result is not a
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// While idle clients hold all descriptors, requests wait to be accepted, and the sidecar can't know how long they have
-// waited.
+// No rule may be broken while idle clients hold all descriptors. Requests then wait to be accepted, for a time that they do
+// not state.
 func TestSoakWithConnectionFloods(t *testing.T) {
 	healthy := buildProgram(t, "")
 	for _, seed := range []uint64{1, 2, 3} {
@@ -68,8 +68,8 @@
 	}
 }
 
-// After a handover while discovery is down or its answers are faulty, the new process serves from its predecessor's
-// list.
+// No rule may be broken by a handover while discovery is down or its answers are faulty: the new process then serves from its
+// predecessor's list.
 func TestSoakWithHandover(t *testing.T) { checkNoViolations(t, buildProgram(t, ""), 8) }
 
 // Fixed seeds keep every rule with the regular program. A program with an injected defect breaks a rule, and the
@@ -120,8 +120,8 @@
 	}
 }
 
-// Every profile gives valid scenarios, always the same for a seed, with connection floods of half to four times the
-// descriptors. Only the general profile has no rule on the share of requests served in time.
+// Every profile gives valid scenarios, always the same for a seed; those of profile "crowds" have connection floods of half
+// to four times the descriptors. Only the general profile has no rule on the share of requests served in time.
 func TestDrawProfile(t *testing.T) {
 	least, most := math.Inf(1), 0.0
 	for _, profile := range Profiles() {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -295,7 +295,7 @@
 
 func (i *instance) Note(line string) { i.writeLineAction("EMIT", line) }
 
-// reportPanic tells the simulator that the instance has ended with a panic.
+// reportPanic reports to the simulator that the instance has ended with a panic.
 func (i *instance) reportPanic(message string) { i.writeLineAction("DIE", message) }
 
 func (i *instance) writeLineAction(msg, line string) {
--- a/logic/discovery.go
+++ b/logic/discovery.go
@@ -27,7 +27,7 @@
 	// minParallelCallDelay is the shortest time that an open call is given before a parallel call is made.
 	minParallelCallDelay Millis = 1100
 	// maxQueueWait, plus the work of the call itself, is the longest time that an open call is given before a parallel call is
-	// made. The discovery services met so far refuse calls that would wait longer.
+	// made. The discovery services seen so far refuse calls that would wait longer.
 	maxQueueWait Millis = 3050
 	// assumedCallWork is the assumed work of a call before the first answer.
 	assumedCallWork Millis = 1950
@@ -86,7 +86,7 @@
 	maxRetryPauseAfterWait Millis = 150
 	// reopenJitter is the longest delay in milliseconds before watches that ended together are reopened in a small fleet.
 	reopenJitter = 100.0
-	// reopenJitterFleet is added to reopenJitter in a large fleet, and in part in a smaller one.
+	// reopenJitterFleet is added to reopenJitter in a large fleet, and in part in a smaller one, in milliseconds.
 	reopenJitterFleet = 700.0
 	// reopenJitterShare limits the jitter to a share of the time that is left to the deadline.
 	reopenJitterShare = 1.0 / 8
--- a/logic/discovery_capacity_test.go
+++ b/logic/discovery_capacity_test.go
@@ -15,8 +15,8 @@
 //
 // All processes called discovery at the start, with 0.2 s of work per call. That exceeded its capacity, and it refuses at once calls
 // that would wait over 3 s. Each process whose call was queued made a parallel call after 1.1 s. The parallel call was refused and
-// the queued one ended with it, but its work was still done, for nobody. The queue stayed full to the end of the run, with 30 calls
-// per second where five could be served.
+// the queued one ended with it, but discovery still did its work, for an answer that no process waited for. The queue stayed full to
+// the end of the run, with 30 calls per second where five could be served.
 //
 // Cause: parallel calls were not limited by anything that the answers of discovery replenish, and were made before its queue could
 // have answered. Longer waits led to more calls, and more calls to longer waits.
--- a/logic/lease.go
+++ b/logic/lease.go
@@ -6,7 +6,7 @@
 // A watch that has delivered its list holds the lease. When the watch ends, when a new configuration arrives and when the process
 // starts, the lease begins to run towards the nearest deadline. A lease that expires before a list is received suspends all new
 // legs, since any endpoint may count as drained by then. Meanwhile requests are queued; they are sent once a list is received, or
-// answered when their time is over.
+// given up before their deadline.
 //
 // A missed change counts as notified only while discovery can be reached. That it can be reached is shown by a call that
 // discovery accepted, and by a watch that its service ended in an orderly way. Calls refused after a wait, or several consecutive
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -3,8 +3,10 @@
 //
 // New starts an instance from its Terms. SetNow sets the clock before each event. The events are:
 //
-//   - the list of endpoints: ListStarts (for a whole list only), Listed for each entry, ListEnds; ListFailed for a call
-//     that brought none; ListHeard, ListLost and ListMoved for the state of the watch;
+//   - the list of endpoints: ListStarts (for a whole list only), Listed for each entry, ListEnds;
+//   - calls to discovery: ListCallAccepted, and for a call without a list ListCallFailed, ListCallRefused,
+//     DiscoveryUnreachable or ListStale;
+//   - the watch of the list: ListReceived, WatchEnded, DiscoveryMoved, EarlierWatchEnded and TookOver;
 //   - an operator's drains: Drain, Undrain;
 //   - messages of other sidecars: PeerMessage;
 //   - an endpoint's answer to a probe: Probed;
@@ -24,11 +26,10 @@
 
 // Values set by the design document.
 const (
-	// Bounds of an endpoint's selection weight, the factor applied to it by a failure, and what a success adds.
-	minWeight           = 0.05
-	maxWeight           = 1.0
-	weightFailureFactor = 0.5
-	weightSuccessStep   = 0.1
+	minWeight           = 0.05 // lowest selection weight of an endpoint
+	maxWeight           = 1.0  // highest selection weight of an endpoint
+	weightFailureFactor = 0.5  // what a failure leaves of the weight
+	weightSuccessStep   = 0.1  // added to the weight by a success
 
 	hedgeDelayQuantile  = 0.98    // of the recent latencies, after which a hedge is sent
 	hedgeMinSamples     = 20      // latencies before the hedge delay is used
@@ -42,22 +43,24 @@
 )
 
 // Values of this implementation. Most are ratios to what the Terms state or to what is measured, so that they hold for
-// fast and slow products alike. The shortest and the longest expected time are those among all products.
+// fast and slow products alike. The shortest and the longest expected time are those among all products. A product's best
+// latency is the lowest that its typical (mean) latency has been.
 const (
 	upkeepIntervalRatio = 0.2 // of the shortest expected time: interval of the periodic upkeep
 	evidenceMemoryRatio = 8.0 // of the longest expected time: time constant with which counted outcomes decay
 
 	// An answer is late, and lowers its endpoint's concurrency limit, beyond lateExpectedRatio of the expected time or
 	// lateBestRatio times the product's best latency, whichever is longer, but at lateExpectedRatioMax of the expected
-	// time in any case.
+	// time in any case. A refusal as full counts as late too.
 	lateExpectedRatio    = 0.4
 	lateBestRatio        = 1.8
 	lateExpectedRatioMax = 0.5
 
-	// A leg counts as lost when it takes longer than a limit between lostExpectedRatioMin and lostExpectedRatioMax of
-	// the expected time. The limit is the best latency plus lostDeviations standard deviations, or lateBestRatio times
-	// the best latency if that is longer. The latter is longer the more an overdue answer is still worth: by
-	// lostOverdueFactor times the value share of an overdue answer.
+	// A leg counts as lost when its endpoint refuses it as full, or when it takes longer than a limit between
+	// lostExpectedRatioMin and lostExpectedRatioMax of the expected time. The limit is the best latency plus
+	// lostDeviations standard deviations or, if that is longer, lateBestRatio times the best latency. The latter is
+	// multiplied by 1 + lostOverdueFactor * Product.OverdueShare: if an overdue answer is still worth something, its leg
+	// counts as lost later.
 	lostOverdueFactor    = 3.0
 	lostExpectedRatioMin = 0.5
 	lostExpectedRatioMax = 0.9
@@ -69,14 +72,14 @@
 	lossDecaySpans     = 4.0     // longest expected times: time constant with which the share decays without any leg
 	lossLongDecaySpans = 16.0    // longest expected times: time constant with which the long-term share decays without any leg
 
-	shedLossThreshold     = 0.37    // loss from which exchanges are shed
-	shedLossSpan          = 0.25    // loss beyond the threshold at which all are shed
+	shedLossThreshold     = 0.37    // combined short- and long-term loss (see overload) from which exchanges are shed
+	shedLossSpan          = 0.25    // combined loss beyond the threshold at which all are shed
 	slowdownNoneQueue     = 1.0     // latency over the product's best at which no request queues at an endpoint
 	slowdownAllQueue      = 1.25    // latency over the product's best at which all queue
 	maxSlowdown           = 4.0     // highest latency over the product's best that one answer counts as
 	slowdownGainRatio     = 1.0 / 3 // of the gain of lost legs: what one answer moves the mean slowdown
 	shedUnqueuedExtraLoss = 1.2     // added to the shedding threshold where no request queues
-	shedLongLossWeight    = 4.0     // of the long-term share of lost legs, which counts more as it grows
+	shedLongLossWeight    = 4.0     // times the long-term share of lost legs, plus 1: the factor with which that share counts
 	shedPauseRatio        = 0.25    // of the mean time between legs: after a shed exchange the next ones are shed at once
 
 	meanRankGain = 0.02  // weight of one exchange in the mean rank
@@ -85,7 +88,7 @@
 	knownGoodMemorySpans = 16.0 // longest expected times for which an answer in time makes its endpoint known-good
 	knownGoodWantedSpans = 0.5  // longest expected times: as many known-good endpoints are wanted as legs go out in them
 	unprovenLegShare     = 0.02 // of legs that go to unproven endpoints once there are enough known-good ones
-	recentFailureFactor  = 0.02 // on the odds of an endpoint that lost a leg lately, or one of this exchange
+	recentFailureFactor  = 0.02 // on the odds of an endpoint that lost a leg lately, or that had a leg of this exchange before
 
 	fleetMinLimit          = 4.0  // least concurrency limit of an endpoint, summed over all sidecars of the fleet
 	limitOvercommitRatio   = 1.3  // most legs in flight, over the sum of the endpoints' limits
@@ -104,7 +107,7 @@
 
 	coldRateMargin      = 0.65 // of the fall multiple: the rate at which a cold endpoint is sent to
 	firstLegFallWindows = 3.0  // fall windows within which a sidecar sends an undrained endpoint its first leg
-	firstLegSlots       = 1.5  // slots of that endpoint which the first legs of all sidecars together may take
+	firstLegSlots       = 1.5  // requests at a time that the first legs of all sidecars together may be at that endpoint
 
 	retryTokensPerExchange = 0.15 // further legs that the end of one exchange earns
 	maxRetryTokens         = 12.0 // most retry tokens that are held
@@ -137,8 +140,8 @@
 	keyCounterCount        = 256  // counters over which keys are spread by their hash
 	keyShareMinSamples     = 20.0 // added to the denominator of a key's share of traffic, which too few samples would overstate
 	keySpreadFactor        = 1.5  // endpoints that a key is spread over, for its share of traffic times their number
-	blockedMinFailures     = 1.4  // lost legs of a key, decayed, from which it may count as blocked
-	blockedMinFailureShare = 0.5  // share of lost legs from which a key is blocked; rises with that of the other keys
+	blockedMinFailures     = 1.4  // lost or failed legs of a key (decayed count) from which it may count as blocked
+	blockedMinFailureShare = 0.5  // share of lost or failed legs from which a key is blocked; rises with that of the other keys
 
 	probeMaxLegsPerEndpoint = 0.25   // own legs in flight for each endpoint, below which probes are needed
 	probeTimeShare          = 0.15   // of the time left: longest wait for reports
@@ -160,7 +163,7 @@
 	pathFreeShare        = 0.25  // of the expected time that a network path may take without lowering the odds
 	minPathFactor        = 0.001 // on the odds of endpoints that are too far away
 	keyDecayExponent     = 0.25  // on the decay of other outcomes: counts of keys last longer
-	keyedZonePriceFactor = 30.0  // by which the price of another zone lowers the odds there for a request with a key
+	keyedZonePriceFactor = 30.0  // by which the price of another zone lowers the odds there for a request whose key is kept warm
 
 	legsPerHomeEndpoint   = 5.0  // legs within the known-good memory for each endpoint of the home subset
 	minHomeSize           = 4.0  // endpoints of the home subset at least
@@ -345,9 +348,9 @@
 	return mixHash(e.wireID, -2-int(b.self)) | 1
 }
 
-// Arrive takes an exchange, which is owed one final answer from here on. Depending on admission it is shed, sent to an
-// endpoint or queued. An exchange whose request is incomplete gets no hedge, and after BodyDiscarded no further leg. The
-// hint is the expected work in any unit; 0 for none.
+// Arrive takes an exchange, which from here on has to get exactly one final answer. Depending on admission it is shed,
+// sent to an endpoint or queued. An exchange whose request is incomplete gets no hedge, and after BodyDiscarded no
+// further leg. The hint is the expected work in any unit; 0 for none.
 func (b *Balancer) Arrive(id ExchangeID, p ProductID, t TenantID, k KeyID, abandonAt Millis, hint float64,
 	incomplete bool) {
 	x := b.acquireSlot()
@@ -450,11 +453,11 @@
 }
 
 // shouldProbe tells whether endpoints are probed before an exchange is sent: this sidecar has too few legs in flight to
-// know their load, probes are allowed, reports are fresh, and enough legs are lost to be worth the probes' price.
+// know their load, probes are allowed, reports are fresh, and the probes cost no more than the lost legs do.
 func (b *Balancer) shouldProbe() bool {
 	few := b.legRate*b.typicalLatency < probeMaxLegsPerEndpoint*float64(len(b.ready))
 	known := b.freshShare > minFreshShare && (b.probeMinLoss == 0 || b.reportAgeKnown())
-	return b.canProbe && few && known && b.lossShare+b.lossShareLong >= b.probeMinLoss // probes may cost no more than is lost
+	return b.canProbe && few && known && b.lossShare+b.lossShareLong >= b.probeMinLoss
 }
 
 // probeCandidates asks a few endpoints for their load before an exchange is sent: a sidecar that sends little does not
@@ -484,7 +487,8 @@
 }
 
 // Probed takes an endpoint's load report, or with ok false that a probe was not answered. An exchange goes out once all
-// its candidates have reported; after each report the others are left as long again as that report took.
+// its candidates have reported; after each report the others are left as long again as that report took. A candidate
+// that does not report counts as heavily loaded (noReportLoad), so that one that has reported is chosen.
 func (b *Balancer) Probed(id EndpointID, ok bool, l Load) {
 	e := b.byID[id]
 	if e == nil {
@@ -677,7 +681,7 @@
 		b.retryTokens--
 		b.route(x)
 	case b.lease.suspended && len(x.legs) < b.maxLegs && !slices.ContainsFunc(x.legs, func(l leg) bool { return !l.neverRan }):
-		b.enqueue(x) // it is sent once a list is heard
+		b.enqueue(x) // it is sent once a list is received
 	default:
 		b.giveUp(x, LegsFailed)
 	}
@@ -702,8 +706,8 @@
 	}
 }
 
-// finish ends an exchange that has its answer or whose client has left: its other legs are cancelled, its end earns part
-// of a retry token, and its slot is released once no leg is out.
+// finish ends an exchange that has its answer or whose client has left: its legs in flight are cancelled, its end earns
+// part of a retry token, and its slot is released once no leg is out.
 func (b *Balancer) finish(x *exchange) {
 	b.setOverdue(x, false)
 	x.answered = true
@@ -735,8 +739,8 @@
 	b.finish(x)
 }
 
-// mayRetry tells whether an exchange may get another leg: the retry tokens allow it, more of them for a product that fails
-// everywhere, and an answer in time is still possible.
+// mayRetry tells whether an exchange may get another leg: enough retry tokens are left (more are needed for a product that
+// fails everywhere), and an answer in time is still possible.
 func (b *Balancer) mayRetry(x *exchange) bool {
 	return !b.blocked(x) && b.retryTokens >= 1+maxRetryTokens*x.product.failingShare && len(x.legs) < b.maxLegs &&
 		float64(x.deadline-b.now) > x.product.typicalLatency/2 &&
@@ -976,7 +980,7 @@
 }
 
 // blocked tells whether a key's exchanges fail at every endpoint while those of other keys do not: they wait for something
-// that no endpoint can help, and their failures are not held against any endpoint.
+// outside the endpoints, and their failures lower no endpoint's weight or limit and make none a suspect.
 func (b *Balancer) blocked(x *exchange) bool {
 	if x.key == 0 {
 		return false
@@ -1236,7 +1240,8 @@
 }
 
 // upkeep runs whenever timer 0 fires: it decays counters, refills the tokens of cold endpoints, drops peers' work that was
-// not renewed, records legs that are overdue, notifies the operator and sends what waits.
+// not renewed, records legs that are overdue, gives up the oldest overdue exchange if such exchanges may hold all answer
+// buffers, notifies the operator and sends queued exchanges.
 func (b *Balancer) upkeep() {
 	b.SetTimer(b.upkeepInterval, 0)
 	b.testReports()
--- a/logic/message.go
+++ b/logic/message.go
@@ -7,9 +7,9 @@
 
 // peerMessage says how much work the sender has in flight at an endpoint, and that a leg there began or how it ended. Its
 // bytes are: 0 and 1 the endpoint's wireID, 2 the sequence number, 3 the sender's work, 4 the leg's outcome, 5 the product's
-// index, 6 the work ahead of the leg with its own, 7 and 8 the latency in ms, 9 the leg's work, 10
-// the tenant plus 1. Amounts of work are in steps of 1/workSteps. The outcome Unknown says that the leg began, with a
-// latency of 0, or else that it is still in flight and counts as lost.
+// index, 6 the work ahead of the leg with its own, 7 and 8 the latency in ms, 9 the leg's work, 10 the tenant plus 1.
+// Amounts of work are in steps of 1/workSteps. The outcome Unknown says that the leg began, with a latency of 0, or else
+// that it is still in flight and counts as lost.
 type peerMessage [11]byte
 
 const workSteps = 4.0 // steps for the work of a mean leg
--- a/logic/state.go
+++ b/logic/state.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// The state of an instance, how events are recorded in it, and random draws. Selection and admission are in logic.go.
+// The state of an instance, how events are recorded in it, and random draws. Nothing is decided here; selection and
+// admission are in logic.go.
 // The unit of work is the work of a mean leg; where no hints are given every leg counts as one.
 
 // endpoint is one server of the list and what is known of it.
@@ -62,13 +63,13 @@
 	peer     PeerID
 	sequence byte    // number of the message
 	work     float64 // of its legs in flight at the endpoint
-	heardAt  Millis
+	heardAt  Millis  // when that message came
 }
 
 // backoff counts how often in a row an endpoint failed one product, which it may do while it serves the others.
 type backoff struct {
 	failures      int    // in a row
-	lastFailureAt Millis // legs sent before it do not count once more
+	lastFailureAt Millis // a leg sent before it does not count as a further failure
 	retryAt       Millis // when a leg may be sent again
 }
 
@@ -156,7 +157,7 @@
 	queue        []*exchange // exchanges that wait for capacity
 	exchanges    map[ExchangeID]*exchange
 	message      peerMessage // buffer of the last message to peers
-	peerExchange exchange    // stands for the exchange of a leg that a peer told of
+	peerExchange exchange    // stands for the exchange of a leg that a peer reported
 	peerLeg      leg         // that leg
 
 	latencies        [latencySampleCount]float64                       // ring buffer of the latencies of successful legs, ms
@@ -194,13 +195,13 @@
 	mostSuspect      bool    // most ready endpoints are suspects, so that none is left out
 	overloadNoted    bool    // the operator was notified of an overload
 	legBudget        legBudget
-	canProbe         bool
-	awaitingReports  []*exchange // that wait for load reports
-	testedEndpoint   *endpoint   // probed to test how old its reports are; nil for none
-	firstReport      Load        // its first report of the test; Held is -2 before that
-	reportTests      float64     // tests so far
-	freshShare       float64     // moving average of the share of tests that found a changed report
-	keyTraffic       [keyCounterCount]float64
+	canProbe         bool                             // probes are allowed, answered with a load and cheap enough
+	awaitingReports  []*exchange                      // that wait for load reports
+	testedEndpoint   *endpoint                        // probed to test how old its reports are; nil for none
+	firstReport      Load                             // its first report of the test; Held is -2 before that
+	reportTests      float64                          // tests so far
+	freshShare       float64                          // moving average of the share of tests that found a changed report
+	keyTraffic       [keyCounterCount]float64         // exchanges, decayed counts
 	overdueByKey     [keyCounterCount]int             // exchanges with an overdue leg
 	outcomesByKey    [keyCounterCount + 1]keyOutcomes // the last is of all keys
 	probeMinLoss     float64                          // share of lost legs from which probes are worth their price
@@ -214,7 +215,7 @@
 	ring             []*endpoint                      // the ready endpoints, nearest to the subset's start first
 }
 
-// peerIndex is a peer's place among those that share an endpoint; -1 for none.
+// peerIndex is the index of a peer in e.peers; -1 if it does not share the endpoint.
 func (e *endpoint) peerIndex(p PeerID) int {
 	return slices.IndexFunc(e.peers, func(k sharingPeer) bool { return k.peer == p })
 }
@@ -390,7 +391,7 @@
 }
 
 // BodyComplete says that the last byte of the request has been written. The endpoint's work begins now, so that the leg's
-// latency is counted from here.
+// latency is counted from here, and the deadline is set anew from abandonAt.
 func (b *Balancer) BodyComplete(id ExchangeID, abandonAt Millis) {
 	if x := b.exchanges[id]; x != nil && x.incomplete {
 		x.incomplete = false
@@ -429,7 +430,8 @@
 	b.slowdown += slowdownGainRatio * b.lossGain() * (math.Min(ratio, maxSlowdown) - b.slowdown)
 }
 
-// lossGain is the weight of one leg in the share of lost legs: as many legs count as go out in a longest expected time.
+// lossGain is the weight of one leg in the share of lost legs: as many legs count as go out in a longest expected time,
+// within lossGainMin and lossGainMax.
 func (b *Balancer) lossGain() float64 {
 	return math.Min(math.Max(1/(b.legRate*float64(b.longestExpected)+0.01), lossGainMin), lossGainMax)
 }
--- a/logic/types.go
+++ b/logic/types.go
@@ -67,7 +67,7 @@
 const (
 	LegsFailed   Reason = iota // its legs failed or ran out of time, and no further one is affordable or in time
 	LossShed                   // shed by admission, by the share of lost legs
-	ShedPause                  // came closely behind one that was shed, or its key is blocked
+	ShedPause                  // came closely behind one that was shed, or its key is blocked or has an overdue leg
 	NoEndpoint                 // no endpoint may be sent this product
 	QueueFull                  // too many wait for capacity
 	QueueTimeout               // waited for capacity too long, or held a buffer that others wait for
