--- a/cmd/lab/summary.go
+++ b/cmd/lab/summary.go
@@ -60,12 +60,12 @@
 	}
 	if result != nil {
 		r.Facts = append(r.Facts, [2]string{"all processes ready after", result.StartDuration.String()})
-		peak, cpu, maxSendDelay := 0, 0.0, 0
+		peak, cpu, maxDescriptors := 0, 0.0, 0
 		for _, u := range result.Usage {
-			peak, cpu, maxSendDelay = max(peak, u.PeakKB), cpu+u.CPUms, max(maxSendDelay, u.Descriptors)
+			peak, cpu, maxDescriptors = max(peak, u.PeakKB), cpu+u.CPUms, max(maxDescriptors, u.Descriptors)
 		}
 		r.Facts = append(r.Facts, [2]string{"processes started", fmt.Sprint(len(result.Usage))}, [2]string{"largest memory of a process", fmt.Sprintf("%d MB", peak>>10)},
-			[2]string{"CPU time of all processes", fmt.Sprintf("%.1f s", cpu/1000)}, [2]string{"most descriptors of a process", fmt.Sprint(maxSendDelay)})
+			[2]string{"CPU time of all processes", fmt.Sprintf("%.1f s", cpu/1000)}, [2]string{"most descriptors of a process", fmt.Sprint(maxDescriptors)})
 		for _, e := range result.Events {
 			r.Events = append(r.Events, fmt.Sprintf("%.1f s: %s", e.At/1000, e.Text))
 		}
--- a/internal/sidecar/attempt_error.go
+++ b/internal/sidecar/attempt_error.go
@@ -30,7 +30,7 @@
 }
 
 func (e *legError) Error() string {
-	return fmt.Sprintf("%s, stage %d: %v", outcomeNames[e.outcome], e.stage, e.cause)
+	return fmt.Sprintf("%s, reach %d: %v", outcomeNames[e.outcome], e.stage, e.cause)
 }
 
 func (e *legError) Unwrap() error { return e.cause }
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -150,8 +150,8 @@
 func (s *console) health(w http.ResponseWriter, _ *http.Request) {
 	if !s.server.servesAlone() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
-	} else if s.server.pair != nil {
-		s.server.pair.updateSiblingsNow()
+	} else if s.server.processes != nil {
+		s.server.processes.updateSiblingsNow()
 	}
 }
 
@@ -168,7 +168,7 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	case err != nil:
-		s.log.Error("operator drain or undrain is in force but not saved for the next process", zap.String("endpoint", id), zap.Error(err))
+		s.log.Error("operator drain or undrain is not saved for the next process", zap.String("endpoint", id), zap.Error(err))
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "holds in this process only, so far: "+err.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/sidecar/list_events.go
+++ b/internal/sidecar/list_events.go
@@ -61,7 +61,7 @@
 		l.endOutage(e.version, callDuration)
 	}
 	if len(drained) > 0 {
-		l.log.Info("endpoints drain or are gone", zap.Int("count", len(drained)), zap.Strings("first", drained[:min(len(drained), maxLoggedEndpoints)]),
+		l.log.Info("endpoints left service: draining or removed from the list", zap.Int("count", len(drained)), zap.Strings("first", drained[:min(len(drained), maxLoggedEndpoints)]),
 			zap.Int64("version", e.version), zap.Bool("whole_list", e.full), zap.Bool("from_sibling", e.call == fromSibling))
 	}
 	l.upstream.limitIdle(len(l.list.listed))
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -38,7 +38,7 @@
 	counters             *Counters
 	log                  *zap.Logger
 	listener             atomic.Pointer[clientListener]
-	pair                 *processGroup             // other processes of this sidecar during an upgrade; nil if there can be none
+	processes            *processGroup             // other processes of this sidecar during an upgrade; nil if there can be none
 	accepting            atomic.Bool               // the listening socket accepts clients
 	replaced             atomic.Bool               // another process has taken over the listening socket
 	activeHandlers       atomic.Int64              // requests whose head was read and whose handler has not returned
@@ -106,13 +106,13 @@
 
 // servesAlone reports whether this process can serve all clients without the other processes of an upgrade.
 func (s *clientServer) servesAlone() bool {
-	return s.acceptsExchanges() && (s.pair == nil || s.pair.predecessorDrained())
+	return s.acceptsExchanges() && (s.processes == nil || s.processes.predecessorDrained())
 }
 
 // acceptsExchanges reports whether a request that arrives now can be served: the listener is open, a list of endpoints is
 // known, the process is not ending, and what it took over from a predecessor is confirmed.
 func (s *clientServer) acceptsExchanges() bool {
-	return s.accepting.Load() && s.loop.listLoaded.Load() && s.shutdownBy.Load() == nil && (s.pair == nil || s.pair.listConfirmed())
+	return s.accepting.Load() && s.loop.listLoaded.Load() && s.shutdownBy.Load() == nil && (s.processes == nil || s.processes.listConfirmed())
 }
 
 // handsOver reports whether a new process accepts the clients. Answers then close kept-alive connections, so that their
--- a/internal/sidecar/start.go
+++ b/internal/sidecar/start.go
@@ -259,8 +259,8 @@
 	defer stop()
 	srv := s.assemble(runCtx, log)
 	if s.stateDir != "" { // set before the first health check can arrive
-		srv.pair = &processGroup{dir: s.stateDir, memoryTenth: s.memoryTenth(), server: srv, listener: ln, log: log, startedAt: time.Now(), tookOver: handover != nil}
-		srv.pair.predecessorTransfers.Store(-1)
+		srv.processes = &processGroup{dir: s.stateDir, memoryTenth: s.memoryTenth(), server: srv, listener: ln, log: log, startedAt: time.Now(), tookOver: handover != nil}
+		srv.processes.predecessorTransfers.Store(-1)
 	}
 	if handover != nil {
 		srv.loop.operatorDrains.Restore(handover.drainedIDs, handover.listedIDs)
@@ -279,19 +279,19 @@
 		go operatorConsole.serve(consoleServer, consoleListener)
 	}
 	if handover != nil {
-		go srv.pair.runSibling(runCtx, handover.conn, handover.reader, false)
+		go srv.processes.runSibling(runCtx, handover.conn, handover.reader, false)
 	}
 	if s.stateDir != "" {
-		srv.pair.tryListenForSuccessor(runCtx)
+		srv.processes.tryListenForSuccessor(runCtx)
 	}
 	go s.followReloads(runCtx, srv, reload, read)
 	var group *processGroup
 	if handover != nil {
-		group = srv.pair
+		group = srv.processes
 	}
 	err = s.serve(ctx, srv, ln, group)
-	if srv.pair != nil {
-		srv.pair.updateSiblingsNow()
+	if srv.processes != nil {
+		srv.processes.updateSiblingsNow()
 	}
 	log.Info("ends", srv.counters.fields(srv.descriptors)...)
 	return err
@@ -463,7 +463,7 @@
 	defer ticker.Stop()
 	for ; ; <-ticker.C {
 		elapsed := time.Since(started)
-		if accepting && srv.pair != nil && srv.pair.successorReady() {
+		if accepting && srv.processes != nil && srv.processes.successorReady() {
 			// Clients that connect from now on are in the accept queue that both processes share; the successor accepts them.
 			accepting = false
 			srv.replaced.Store(true)
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -134,12 +134,12 @@
 		s.Discovery = d.Addr().String()
 	})
 	<-d.received // the first call is open
-	r.server.pair = &processGroup{server: r.server, tookOver: true, startedAt: time.Now()}
+	r.server.processes = &processGroup{server: r.server, tookOver: true, startedAt: time.Now()}
 	assert.Eventually(t, func() bool { return r.loop.listLoaded.Load() && r.server.accepting.Load() }, 5*time.Second, time.Millisecond)
 	assert.False(t, r.server.servesAlone())
-	r.server.pair.startedAt = time.Now().Add(-maxOwnWatchWait)
+	r.server.processes.startedAt = time.Now().Add(-maxOwnWatchWait)
 	assert.True(t, r.server.servesAlone())
-	r.server.pair.startedAt = time.Now()
+	r.server.processes.startedAt = time.Now()
 	r.loop.post(listReceived{endpointList: endpointList{version: 2}, call: 1})
 	assert.Eventually(t, r.server.servesAlone, 5*time.Second, time.Millisecond)
 }
@@ -195,7 +195,7 @@
 	done := make(chan bool)
 	successor.loop.post(loopFunc(func(*loop) { close(done) }))
 	<-done
-	successor.server.pair = p
+	successor.server.processes = p
 	go p.runSibling(t.Context(), h.conn, h.reader, false)
 	assert.Eventually(t, listener.isPaused, 5*time.Second, time.Millisecond, "the old process no longer accepts clients")
 	assert.Eventually(t, func() bool { return p.predecessorTransfers.Load() == 1 }, 5*time.Second, time.Millisecond)
